--- a/crates/consensus/src/action.rs
+++ b/crates/consensus/src/action.rs
@@ -1,46 +1,46 @@
-//! What a replica asks of its driver.
+//! The actions that a replica requests from its driver.
 
 use crate::{Entry, Message, Position, ReplicaId, Snapshot, Vote};
 
-/// A step for the driver; steps are carried out in the order given, and a step that stores
+/// An action for the driver. The driver executes actions in the order given; an action that stores
 /// something must be durable before the next one begins.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Action {
-    /// Store the vote.
+    /// Store the term and vote.
     SaveVote(Vote),
-    /// Store entries; those already stored from the first one's index on are replaced.
+    /// Store entries, replacing all stored entries from the first one's index on.
     Append(Vec<Entry>),
-    /// Store the snapshot and drop the entries that it covers. With `reset`, drop all entries.
+    /// Store the snapshot and delete the entries that it covers, or all entries with `reset`.
     SaveSnapshot {
         /// The snapshot to store.
         snapshot: Snapshot,
-        /// The stored entries do not continue the snapshot.
+        /// Whether the stored entries do not continue the snapshot and must all be deleted.
         reset: bool,
     },
     /// Send a message.
     Send {
-        /// The receiver.
+        /// The replica that receives the message.
         to: ReplicaId,
         /// The message.
         message: Message,
     },
-    /// Replace the state machine's state.
+    /// Replace the state machine's state with the snapshot.
     Restore(Snapshot),
     /// Apply a committed entry to the state machine.
     Apply(Entry),
-    /// The read may be answered from a state machine that has applied `index`.
+    /// The read may be served once the state machine has applied `index`.
     ReadReady {
-        /// The read's number, as given by the caller.
+        /// The token that the caller gave for the read.
         token: u64,
-        /// The index that must be applied.
+        /// The index that must be applied before the read is served.
         index: u64,
     },
-    /// The read cannot be answered here.
+    /// This replica cannot serve the read.
     ReadFailed {
-        /// The read's number, as given by the caller.
+        /// The token that the caller gave for the read.
         token: u64,
     },
-    /// This replica became the leader; its first entry has this position.
+    /// This replica became the leader; its term's first entry has this position.
     BecameLeader(Position),
     /// This replica is no longer the leader.
     LostLeadership,
--- a/crates/consensus/src/lib.rs
+++ b/crates/consensus/src/lib.rs
@@ -1,17 +1,17 @@
-//! A replicated log as a pure state machine, with durable storage beside it.
+//! A replicated log: Raft as a pure state machine, and durable storage for its state.
 //!
-//! * [`Replica`] decides: it takes the time and an event and returns [`Action`]s, and holds no
-//!   clock, socket or file.
-//! * [`storage`] keeps what must survive a restart.
-//! * [`founding`] decides how the very first configuration comes about.
+//! * [`Replica`] is the state machine. It takes the current time and an event and returns
+//!   [`Action`]s for its driver. It has no clock, socket or file of its own.
+//! * [`storage`] persists the state that must survive a restart.
+//! * [`bootstrap`] decides which replica creates the initial configuration.
 //!
-//! The algorithm is Raft with pre-vote, a timed leader lease, read index and single-replica
-//! membership changes.
+//! The algorithm is Raft with pre-vote, leader leases, read index and membership changes of one
+//! voter at a time.
 #![deny(missing_docs, rust_2018_idioms)]
 #![forbid(unsafe_code)]
 
 mod action;
-pub mod founding;
+pub mod bootstrap;
 mod log;
 mod message;
 mod options;
--- a/crates/consensus/src/log.rs
+++ b/crates/consensus/src/log.rs
@@ -1,4 +1,4 @@
-//! The log in memory: the newest snapshot and the entries after it.
+//! The in-memory log: the newest snapshot and the entries after it.
 
 use crate::{Config, Entry, Payload, Position, Snapshot};
 
@@ -18,7 +18,7 @@
         self.entries.last().map_or(self.snapshot.position, |entry| entry.position)
     }
 
-    /// Returns the term of the entry at `index`, if the log still knows it.
+    /// Returns the term of the entry at `index`, unless the entry is compacted or beyond the end.
     pub(crate) fn term_at(&self, index: u64) -> Option<u64> {
         if index == self.snapshot.position.index {
             return Some(self.snapshot.position.term);
@@ -35,32 +35,32 @@
         self.entries.push(entry);
     }
 
-    /// Drops the entries from `index` on.
+    /// Removes the entries from `index` on.
     pub(crate) fn truncate_from(&mut self, index: u64) {
         self.entries.retain(|entry| entry.position.index < index);
     }
 
-    /// Returns the entries after `index`, up to `max_bytes` but at least one.
-    pub(crate) fn slice_after(&self, index: u64, max_bytes: usize) -> Vec<Entry> {
+    /// Returns entries after `index`, up to `max_bytes` in total but at least one if any exists.
+    pub(crate) fn entries_after(&self, index: u64, max_bytes: usize) -> Vec<Entry> {
         let skip = index.saturating_sub(self.snapshot.position.index) as usize;
         let mut bytes = 0;
-        let mut found = Vec::new();
+        let mut entries = Vec::new();
         for entry in self.entries.iter().skip(skip) {
             bytes += entry_bytes(entry);
-            if !found.is_empty() && bytes > max_bytes {
+            if !entries.is_empty() && bytes > max_bytes {
                 break;
             }
-            found.push(entry.clone());
+            entries.push(entry.clone());
         }
-        found
+        entries
     }
 
-    /// Returns the newest voters in the log, committed or not.
+    /// Returns the newest configuration in the log, committed or not.
     pub(crate) fn config(&self) -> &Config {
         self.config_entry().map_or(&self.snapshot.config, |(_, config)| config)
     }
 
-    /// Returns the newest entry that holds voters.
+    /// Returns the index and configuration of the newest configuration entry.
     pub(crate) fn config_entry(&self) -> Option<(u64, &Config)> {
         self.entries.iter().rev().find_map(|entry| match &entry.payload {
             Payload::Config(config) => Some((entry.position.index, config)),
@@ -68,18 +68,19 @@
         })
     }
 
-    /// Returns the voters in force at `index`.
+    /// Returns the configuration in force at `index`.
     pub(crate) fn config_at(&self, index: u64) -> Config {
-        let upto = self.entries.iter().rev().filter(|entry| entry.position.index <= index);
-        let found = upto.into_iter().find_map(|entry| match &entry.payload {
+        let up_to_index = self.entries.iter().rev().filter(|entry| entry.position.index <= index);
+        let config = up_to_index.into_iter().find_map(|entry| match &entry.payload {
             Payload::Config(config) => Some(config.clone()),
             _ => None,
         });
-        found.unwrap_or_else(|| self.snapshot.config.clone())
+        config.unwrap_or_else(|| self.snapshot.config.clone())
     }
 
-    /// Replaces the log up to the snapshot's position; tells whether no entry continues it.
-    pub(crate) fn install(&mut self, snapshot: Snapshot) -> bool {
+    /// Replaces the log up to the snapshot's position. Returns true if the existing entries did not
+    /// match the snapshot's position and were all removed.
+    pub(crate) fn install_snapshot(&mut self, snapshot: Snapshot) -> bool {
         let continues = self.term_at(snapshot.position.index) == Some(snapshot.position.term);
         if continues {
             let index = snapshot.position.index;
--- a/crates/consensus/src/message.rs
+++ b/crates/consensus/src/message.rs
@@ -1,45 +1,45 @@
-//! What replicas say to each other.
+//! Messages between replicas.
 
 use crate::{Entry, Position, ReplicaId, Snapshot};
 
-/// A message between replicas; `term` is the sender's term unless said otherwise.
+/// A message between replicas; `term` is the sender's term unless stated otherwise.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Message {
-    /// Asks whether a vote would be given.
+    /// Asks whether the receiver would grant a vote.
     PreVote {
         /// The term in which the sender would campaign.
         term: u64,
-        /// The sender's last entry.
+        /// The position of the sender's last entry.
         last: Position,
     },
-    /// Answers [`Message::PreVote`].
+    /// Replies to [`Message::PreVote`].
     PreVoteReply {
-        /// The term asked about if granted, else the sender's term.
+        /// The requested term if granted, else the sender's term.
         term: u64,
-        /// The vote would be given.
+        /// Whether the sender would grant the vote.
         granted: bool,
     },
-    /// Asks for a vote.
+    /// Requests a vote.
     RequestVote {
         /// The term of the campaign.
         term: u64,
-        /// The sender's last entry.
+        /// The position of the sender's last entry.
         last: Position,
-        /// The former leader gave up its lease and asked for this campaign.
+        /// Whether the former leader gave up its lease and asked the sender to campaign.
         transfer: bool,
     },
-    /// Answers [`Message::RequestVote`].
+    /// Replies to [`Message::RequestVote`].
     VoteReply {
         /// The sender's term.
         term: u64,
-        /// The vote is given.
+        /// Whether the vote is granted.
         granted: bool,
     },
-    /// Replicates entries; also the leader's heartbeat.
+    /// Replicates entries; also serves as the leader's heartbeat.
     Append {
         /// The leader's term.
         term: u64,
-        /// The entry before the first one sent.
+        /// The position of the entry before the first one sent.
         previous: Position,
         /// The entries.
         entries: Vec<Entry>,
@@ -48,18 +48,18 @@
         /// The leader's heartbeat round.
         round: u64,
     },
-    /// Answers [`Message::Append`] and [`Message::Install`].
+    /// Replies to [`Message::Append`] and [`Message::Install`].
     AppendReply {
         /// The sender's term.
         term: u64,
-        /// Whether the entries continue the sender's log.
+        /// Whether the message continues the sender's log.
         accepted: bool,
-        /// The last index known to match, or where to look next if not accepted.
+        /// The last index known to match or, if not accepted, the index to try next.
         index: u64,
-        /// The round of the message that is answered.
+        /// The heartbeat round of the message that this replies to.
         round: u64,
     },
-    /// Replaces the receiver's log by a snapshot.
+    /// Replaces the receiver's log with a snapshot.
     Install {
         /// The leader's term.
         term: u64,
@@ -68,7 +68,7 @@
         /// The leader's heartbeat round.
         round: u64,
     },
-    /// Asks the receiver to campaign at once.
+    /// Asks the receiver to campaign at once, to transfer leadership to it.
     CampaignNow {
         /// The term in which the sender was the leader.
         term: u64,
@@ -76,7 +76,7 @@
 }
 
 impl Message {
-    /// Returns the sender that a message of this kind, received by a follower, shows to lead.
+    /// Returns `from` as the leader if only a leader sends this kind of message.
     pub(crate) fn leader(&self, from: ReplicaId) -> Option<ReplicaId> {
         matches!(self, Self::Append { .. } | Self::Install { .. }).then_some(from)
     }
--- a/crates/consensus/src/options.rs
+++ b/crates/consensus/src/options.rs
@@ -1,22 +1,22 @@
-//! The replica's times and sizes.
+//! The replica's timing and size parameters.
 
 use std::ops::RangeInclusive;
 
-/// Times and sizes that all replicas of one log must share.
+/// Timing and size parameters, which must be the same on all replicas of a log.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Options {
-    /// How often a leader sends heartbeats, in milliseconds.
+    /// The interval between a leader's heartbeats, in milliseconds.
     pub heartbeat_ms: u64,
-    /// The shortest time without a leader after which a replica campaigns, in milliseconds.
+    /// The lower bound of the election timeout, in milliseconds.
     pub election_min_ms: u64,
-    /// The longest time without a leader after which a replica campaigns, in milliseconds.
+    /// The upper bound of the election timeout, in milliseconds.
     pub election_max_ms: u64,
-    /// Whether a leader acts by its lease alone, without asking a quorum. Where none does, a replica
-    /// has promised nothing to a leader before it started, and may vote at once.
+    /// Whether a leader acts on its lease alone, without confirming with a quorum. Without leases a
+    /// restarted replica is bound by no earlier promise to a leader, so it may vote at once.
     pub leases: bool,
-    /// How far two clocks may drift apart over the lease, in thousandths.
+    /// The maximum drift between two replicas' clocks over the lease, in thousandths.
     pub clock_drift_permille: u64,
-    /// The most entry bytes in one message.
+    /// The maximum size of the entries in one message, in bytes.
     pub append_max_bytes: usize,
 }
 
@@ -34,28 +34,29 @@
 }
 
 impl Options {
-    /// Returns the shortest and the longest time, in milliseconds, after which a replica campaigns
-    /// that has heard no leader since it started: one that is there would be heard with its next
-    /// heartbeats.
-    pub(crate) fn first_election_ms(&self) -> RangeInclusive<u64> {
+    /// Returns the range of the election timeout, in milliseconds, for a replica that has had no
+    /// contact with a leader since it started.
+    ///
+    /// Without leases the timeout is at most three heartbeats, since an existing leader would send
+    /// one within that time.
+    pub(crate) fn initial_election_timeout_range_ms(&self) -> RangeInclusive<u64> {
         const HEARTBEATS_MAX: u64 = 3;
         if self.leases {
-            return self.election_ms();
+            return self.election_timeout_range_ms();
         }
         self.heartbeat_ms..=self.heartbeat_ms * HEARTBEATS_MAX
     }
 
-    /// Returns the shortest and the longest time without a leader after which a replica campaigns,
-    /// in milliseconds.
-    pub(crate) fn election_ms(&self) -> RangeInclusive<u64> {
+    /// Returns the range of the election timeout, in milliseconds.
+    pub(crate) fn election_timeout_range_ms(&self) -> RangeInclusive<u64> {
         self.election_min_ms..=self.election_max_ms
     }
 
-    /// Returns how long a leader may act after a quorum was last known to follow it, in
-    /// milliseconds by its own clock.
+    /// Returns the length of the leader lease after the last contact with a quorum, in milliseconds
+    /// of the leader's clock.
     ///
-    /// Followers promise no vote for `election_min_ms` by their clocks, which may run faster than
-    /// the leader's by the drift.
+    /// Followers withhold their votes for `election_min_ms` of their own clocks. The lease is
+    /// shorter, since their clocks may run faster than the leader's by the drift.
     ///
     /// # Examples
     /// ```
--- a/crates/consensus/src/replica/election.rs
+++ b/crates/consensus/src/replica/election.rs
@@ -1,6 +1,6 @@
-//! Elections: pre-vote, vote, and handing leadership over.
+//! Elections: pre-vote, vote and leadership transfer.
 
-use super::{Leading, Progress, Replica, Role};
+use super::{LeaderState, Progress, Replica, Role};
 use crate::{Action, Entry, Message, Payload, Position, ReplicaId};
 
 impl Replica {
@@ -9,21 +9,21 @@
             return;
         }
         let since_ms = match self.role {
-            Role::Follower => self.leader_seen_ms.unwrap_or(self.started_ms),
+            Role::Follower => self.leader_contact_ms.unwrap_or(self.started_ms),
             _ => self.campaign_started_ms,
         };
         if now_ms.saturating_sub(since_ms) < self.election_timeout_ms {
             return;
         }
-        self.draw_election_timeout();
-        self.pre_campaign(now_ms);
+        self.randomize_election_timeout();
+        self.start_pre_vote(now_ms);
     }
 
-    fn pre_campaign(&mut self, now_ms: u64) {
+    fn start_pre_vote(&mut self, now_ms: u64) {
         self.role = Role::PreCandidate;
         self.leader = None;
         self.campaign_started_ms = now_ms;
-        self.granted = [self.id].into();
+        self.granted_by = [self.id].into();
         if self.has_won() {
             return self.campaign(now_ms, false);
         }
@@ -37,8 +37,8 @@
         self.campaign_started_ms = now_ms;
         self.vote.term += 1;
         self.vote.voted_for = Some(self.id);
-        self.out.push(Action::SaveVote(self.vote));
-        self.granted = [self.id].into();
+        self.actions.push(Action::SaveVote(self.vote));
+        self.granted_by = [self.id].into();
         if self.has_won() {
             return self.become_leader(now_ms);
         }
@@ -57,14 +57,15 @@
 
     fn has_won(&self) -> bool {
         let config = self.log.config();
-        self.granted.iter().filter(|id| config.is_voter(**id)).count() >= config.quorum()
+        self.granted_by.iter().filter(|id| config.is_voter(**id)).count() >= config.quorum()
     }
 
-    /// Tells whether this replica has promised a leader not to vote yet.
-    fn is_bound_to_leader(&self, now_ms: u64) -> bool {
+    /// Returns true if this replica leads, or if its last leader contact is more recent than the
+    /// minimum election timeout. Granting a vote then could break a leader's lease.
+    fn must_withhold_vote(&self, now_ms: u64) -> bool {
         self.role == Role::Leader
-            || self.leader_seen_ms.is_some_and(|seen_ms| {
-                now_ms < seen_ms.saturating_add(self.options.election_min_ms)
+            || self.leader_contact_ms.is_some_and(|contact_ms| {
+                now_ms < contact_ms.saturating_add(self.options.election_min_ms)
             })
     }
 
@@ -74,7 +75,7 @@
 
     pub(super) fn on_pre_vote(&mut self, now_ms: u64, from: ReplicaId, term: u64, last: Position) {
         let granted =
-            term > self.vote.term && !self.is_bound_to_leader(now_ms) && self.is_up_to_date(last);
+            term > self.vote.term && !self.must_withhold_vote(now_ms) && self.is_up_to_date(last);
         let reply_term = if granted { term } else { self.vote.term };
         self.send(from, Message::PreVoteReply { term: reply_term, granted });
     }
@@ -95,7 +96,7 @@
         if self.role != Role::PreCandidate || term != self.vote.term + 1 {
             return;
         }
-        self.granted.insert(from);
+        self.granted_by.insert(from);
         if self.has_won() {
             self.campaign(now_ms, false);
         }
@@ -109,20 +110,20 @@
         last: Position,
         transfer: bool,
     ) {
-        if term < self.vote.term || (!transfer && self.is_bound_to_leader(now_ms)) {
+        if term < self.vote.term || (!transfer && self.must_withhold_vote(now_ms)) {
             let reply = Message::VoteReply { term: self.vote.term, granted: false };
             return self.send(from, reply);
         }
         if term > self.vote.term {
             self.become_follower(term);
         }
-        let free = self.vote.voted_for.is_none_or(|id| id == from);
-        let granted = free && self.is_up_to_date(last);
+        let can_vote = self.vote.voted_for.is_none_or(|id| id == from);
+        let granted = can_vote && self.is_up_to_date(last);
         if granted {
             self.role = Role::Follower;
             self.vote.voted_for = Some(from);
-            self.out.push(Action::SaveVote(self.vote));
-            self.leader_seen_ms = Some(now_ms);
+            self.actions.push(Action::SaveVote(self.vote));
+            self.leader_contact_ms = Some(now_ms);
         }
         self.send(from, Message::VoteReply { term: self.vote.term, granted });
     }
@@ -134,7 +135,7 @@
         if self.role != Role::Candidate || term != self.vote.term || !granted {
             return;
         }
-        self.granted.insert(from);
+        self.granted_by.insert(from);
         if self.has_won() {
             self.become_leader(now_ms);
         }
@@ -145,39 +146,40 @@
         let first = Position { term: self.vote.term, index: last.index + 1 };
         self.role = Role::Leader;
         self.leader = Some(self.id);
-        self.leading = Leading { first, quorum_seen_ms: now_ms, ..Leading::default() };
+        self.leader_state =
+            LeaderState { first, quorum_contact_ms: now_ms, ..LeaderState::default() };
         for id in self.followers() {
             let progress =
-                Progress { next: first.index, answered_ms: now_ms, ..Progress::default() };
-            self.leading.progress.insert(id, progress);
+                Progress { next: first.index, last_reply_ms: now_ms, ..Progress::default() };
+            self.leader_state.progress.insert(id, progress);
         }
-        self.out.push(Action::BecameLeader(first));
-        self.append_own(vec![Entry { position: first, payload: Payload::Noop }]);
+        self.actions.push(Action::BecameLeader(first));
+        self.append_as_leader(vec![Entry { position: first, payload: Payload::Noop }]);
         self.broadcast(now_ms);
     }
 
-    /// Gives up leadership in favour of the replica that holds the most of the log.
+    /// Steps down and asks the voter with the most complete log to campaign.
     ///
     /// The lease ends before the successor is asked to campaign.
-    pub fn hand_over(&mut self, _now_ms: u64) -> Vec<Action> {
+    pub fn transfer_leadership(&mut self, _now_ms: u64) -> Vec<Action> {
         if self.role != Role::Leader {
             return Vec::new();
         }
         let config = self.log.config().clone();
-        let voters = self.leading.progress.iter().filter(|(id, _)| config.is_voter(**id));
+        let voters = self.leader_state.progress.iter().filter(|(id, _)| config.is_voter(**id));
         let successor = voters.max_by_key(|(_, progress)| progress.matched).map(|(id, _)| *id);
         let term = self.vote.term;
-        self.leading.handing_over = true;
+        self.leader_state.transferring_leadership = true;
         self.become_follower(term);
         if let Some(successor) = successor {
             self.send(successor, Message::CampaignNow { term });
         }
-        self.take()
+        self.take_actions()
     }
 
     pub(super) fn on_campaign_now(&mut self, now_ms: u64, term: u64) {
-        let votes = self.log.config().is_voter(self.id);
-        if term == self.vote.term && self.role != Role::Leader && votes {
+        let is_voter = self.log.config().is_voter(self.id);
+        if term == self.vote.term && self.role != Role::Leader && is_voter {
             self.campaign(now_ms, true);
         }
     }
--- a/crates/consensus/src/replica/mod.rs
+++ b/crates/consensus/src/replica/mod.rs
@@ -1,4 +1,4 @@
-//! The replica's state and the entry points that its driver calls.
+//! The replica's state and the methods that its driver calls.
 
 mod election;
 mod membership;
@@ -11,20 +11,20 @@
 use rand::{Rng, SeedableRng};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// What a replica currently is.
+/// The role of a replica in the current term.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Role {
-    /// Follows a leader or waits for one.
+    /// Follows a leader, or waits for one to be elected.
     Follower,
-    /// Asks whether it would be elected.
+    /// Runs a pre-vote to find out whether it could win an election.
     PreCandidate,
-    /// Campaigns.
+    /// Campaigns to become the leader.
     Candidate,
-    /// Leads.
+    /// Leads the group.
     Leader,
 }
 
-/// One replica of the log.
+/// A replica of the log, as a pure state machine.
 ///
 /// # Examples
 /// ```
@@ -48,44 +48,54 @@
     role: Role,
     leader: Option<ReplicaId>,
     started_ms: u64,
-    /// When a leader was last heard, or a vote given; with leases also when this replica started.
-    leader_seen_ms: Option<u64>,
+    /// When this replica last heard from a leader or granted a vote. With leases it is initially the
+    /// start time, otherwise `None`.
+    leader_contact_ms: Option<u64>,
     election_timeout_ms: u64,
     campaign_started_ms: u64,
-    granted: BTreeSet<ReplicaId>,
-    leading: Leading,
-    observers: BTreeSet<ReplicaId>,
+    granted_by: BTreeSet<ReplicaId>,
+    leader_state: LeaderState,
+    learners: BTreeSet<ReplicaId>,
     rng: SmallRng,
-    out: Vec<Action>,
+    actions: Vec<Action>,
 }
 
-/// What only a leader keeps.
+/// The state that only a leader maintains.
 #[derive(Debug, Default)]
-struct Leading {
+struct LeaderState {
     progress: BTreeMap<ReplicaId, Progress>,
+    /// The position of the first entry of this leader's term.
     first: Position,
+    /// The newest heartbeat round.
     round: u64,
+    /// When each recent heartbeat round was sent.
     round_sent_ms: BTreeMap<u64, u64>,
-    quorum_seen_ms: u64,
+    /// When the newest round that a quorum has acknowledged was sent.
+    quorum_contact_ms: u64,
     reads: Vec<PendingRead>,
     heartbeat_sent_ms: u64,
-    /// No longer takes proposals, since leadership is being handed over.
-    handing_over: bool,
+    /// Leadership is being transferred, so proposals are rejected.
+    transferring_leadership: bool,
 }
 
+/// The replication progress of a follower, as tracked by the leader.
 #[derive(Clone, Copy, Debug, Default)]
 struct Progress {
+    /// The highest index known to match the leader's log.
     matched: u64,
+    /// The index of the next entry to send.
     next: u64,
+    /// The highest heartbeat round that the replica has acknowledged.
     acked_round: u64,
-    /// When entries were last sent without an answer yet, or 0.
+    /// When the entries or the snapshot that await a reply were sent, or 0 if none do.
     in_flight_since_ms: u64,
-    /// The round in which they were sent.
+    /// The heartbeat round in which they were sent.
     in_flight_round: u64,
-    /// When this replica last answered, or this leader was elected, in milliseconds.
-    answered_ms: u64,
+    /// When the replica last replied, initially when the leader began to track it, in milliseconds.
+    last_reply_ms: u64,
 }
 
+/// A read that waits until a quorum acknowledges a heartbeat round.
 #[derive(Clone, Copy, Debug)]
 struct PendingRead {
     token: u64,
@@ -94,10 +104,10 @@
 }
 
 impl Replica {
-    /// Starts a replica from what it persisted; `now_ms` is by a clock that never goes back.
+    /// Starts a replica from its persistent state; `now_ms` must come from a monotonic clock.
     ///
-    /// With leases the replica gives no vote before the shortest election time has passed, since it
-    /// may have promised a leader not to before it restarted.
+    /// With leases the replica withholds its vote until the minimum election timeout has passed,
+    /// since it may have acknowledged a leader's lease before it restarted.
     pub fn new(
         id: ReplicaId,
         options: Options,
@@ -116,25 +126,25 @@
             role: Role::Follower,
             leader: None,
             started_ms: now_ms,
-            leader_seen_ms: options.leases.then_some(now_ms),
+            leader_contact_ms: options.leases.then_some(now_ms),
             election_timeout_ms: 0,
             campaign_started_ms: 0,
-            granted: BTreeSet::new(),
-            leading: Leading::default(),
-            observers: BTreeSet::new(),
+            granted_by: BTreeSet::new(),
+            leader_state: LeaderState::default(),
+            learners: BTreeSet::new(),
             rng: SmallRng::seed_from_u64(seed),
-            out: Vec::new(),
+            actions: Vec::new(),
         };
-        replica.draw_election_timeout();
+        replica.randomize_election_timeout();
         replica
     }
 
-    /// Returns this replica's identity.
+    /// Returns the identity of this replica.
     pub fn id(&self) -> ReplicaId {
         self.id
     }
 
-    /// Returns what this replica currently is.
+    /// Returns the current role.
     pub fn role(&self) -> Role {
         self.role
     }
@@ -144,7 +154,7 @@
         self.vote.term
     }
 
-    /// Returns the leader that this replica follows, itself included.
+    /// Returns the current leader if it is known, which may be this replica.
     pub fn leader(&self) -> Option<ReplicaId> {
         self.leader
     }
@@ -154,7 +164,7 @@
         self.commit
     }
 
-    /// Returns the newest voters.
+    /// Returns the newest configuration in the log, committed or not.
     pub fn config(&self) -> &Config {
         self.log.config()
     }
@@ -164,86 +174,89 @@
         self.log.last()
     }
 
-    /// Returns how many entries lie after the snapshot and are applied.
-    pub fn compactable(&self) -> u64 {
+    /// Returns the number of applied entries after the snapshot.
+    pub fn compactable_entries(&self) -> u64 {
         self.applied - self.log.snapshot.position.index
     }
 
-    /// Lets time pass: heartbeats, elections, and giving up leadership without a quorum.
+    /// Processes timeouts: sends heartbeats, starts elections, and steps down a leader that has lost
+    /// contact with a quorum.
     pub fn tick(&mut self, now_ms: u64) -> Vec<Action> {
         match self.role {
             Role::Leader => self.tick_leader(now_ms),
             _ => self.tick_follower(now_ms),
         }
-        self.take()
+        self.take_actions()
     }
 
-    /// Takes a message from `from`.
+    /// Handles a message from the replica `from`.
     pub fn receive(&mut self, now_ms: u64, from: ReplicaId, message: Message) -> Vec<Action> {
         self.step(now_ms, from, message);
-        self.take()
+        self.take_actions()
     }
 
-    /// Replaces the applied part of the log by a snapshot with the state machine's `data`.
+    /// Replaces the applied entries of the log with a snapshot that holds the state machine's `data`.
     pub fn compact(&mut self, data: Vec<u8>) -> Vec<Action> {
         let Some(term) = self.log.term_at(self.applied) else {
             return Vec::new();
         };
         let position = Position { term, index: self.applied };
         let snapshot = Snapshot { position, config: self.log.config_at(self.applied), data };
-        self.log.install(snapshot.clone());
-        self.out.push(Action::SaveSnapshot { snapshot, reset: false });
-        self.take()
+        self.log.install_snapshot(snapshot.clone());
+        self.actions.push(Action::SaveSnapshot { snapshot, reset: false });
+        self.take_actions()
     }
 
-    /// Takes the very first configuration; does nothing where the log is not empty.
-    pub fn found(&mut self, config: Config) -> Vec<Action> {
+    /// Adopts the initial configuration; does nothing if the log is not empty.
+    pub fn bootstrap(&mut self, config: Config) -> Vec<Action> {
         if self.log.last() != Position::default() || !self.log.config().voters.is_empty() {
             return Vec::new();
         }
         let position = Position { term: 1, index: 1 };
         let snapshot = Snapshot { position, config, data: Vec::new() };
-        self.log.install(snapshot.clone());
+        self.log.install_snapshot(snapshot.clone());
         self.commit = position.index;
         self.applied = position.index;
         self.set_term(self.vote.term.max(1));
-        self.out.push(Action::SaveSnapshot { snapshot, reset: true });
-        self.take()
+        self.actions.push(Action::SaveSnapshot { snapshot, reset: true });
+        self.take_actions()
     }
 
-    /// Tells whether this replica holds any log or configuration.
-    pub fn is_founded(&self) -> bool {
+    /// Returns true if this replica has a configuration.
+    pub fn is_bootstrapped(&self) -> bool {
         !self.log.config().voters.is_empty()
     }
 
-    /// Tells whether this replica may act as the only leader at `now_ms`.
+    /// Returns true if this replica is an established leader whose lease is valid at `now_ms`.
     ///
-    /// No other leader can be elected while this holds, within the stated clock drift.
+    /// No other leader can be elected during the lease if the clocks stay within the drift limit of
+    /// the options.
     pub fn holds_lease(&self, now_ms: u64) -> bool {
         self.options.leases && self.is_established() && now_ms < self.lease_until_ms()
     }
 
-    /// Returns when the lease of this leader ends, in milliseconds by its clock.
+    /// Returns when the leader lease expires, in milliseconds of this replica's clock.
     pub fn lease_until_ms(&self) -> u64 {
-        self.leading.quorum_seen_ms + self.options.lease_ms()
+        self.leader_state.quorum_contact_ms + self.options.lease_ms()
     }
 
-    /// Tells whether a leader was heard within the last `within_ms`, or this replica leads with a
-    /// quorum that followed it so lately.
-    pub fn hears_leader(&self, now_ms: u64, within_ms: u64) -> bool {
-        let heard_ms = match self.role {
-            Role::Leader => Some(self.leading.quorum_seen_ms),
-            _ if self.leader.is_some() => self.leader_seen_ms,
+    /// Returns true if a follower has heard from the leader, or a leader from a quorum, within the
+    /// last `within_ms` milliseconds.
+    pub fn has_leader_contact(&self, now_ms: u64, within_ms: u64) -> bool {
+        let contact_ms = match self.role {
+            Role::Leader => Some(self.leader_state.quorum_contact_ms),
+            _ if self.leader.is_some() => self.leader_contact_ms,
             _ => return false,
         };
-        heard_ms.is_some_and(|heard_ms| now_ms < heard_ms + within_ms)
+        contact_ms.is_some_and(|contact_ms| now_ms < contact_ms + within_ms)
     }
 
-    /// Tells whether this replica leads and knows all that earlier leaders committed.
+    /// Returns true if this replica leads and has committed an entry of its own term, so that it
+    /// knows every entry that earlier leaders committed.
     pub fn is_established(&self) -> bool {
         self.role == Role::Leader
-            && !self.leading.handing_over
-            && self.commit >= self.leading.first.index
+            && !self.leader_state.transferring_leadership
+            && self.commit >= self.leader_state.first.index
     }
 
     fn step(&mut self, now_ms: u64, from: ReplicaId, message: Message) {
@@ -277,12 +290,12 @@
         }
     }
 
-    fn take(&mut self) -> Vec<Action> {
-        std::mem::take(&mut self.out)
+    fn take_actions(&mut self) -> Vec<Action> {
+        std::mem::take(&mut self.actions)
     }
 
     fn send(&mut self, to: ReplicaId, message: Message) {
-        self.out.push(Action::Send { to, message });
+        self.actions.push(Action::Send { to, message });
     }
 
     fn set_term(&mut self, term: u64) {
@@ -290,13 +303,13 @@
             return;
         }
         self.vote = Vote { term, voted_for: None };
-        self.out.push(Action::SaveVote(self.vote));
+        self.actions.push(Action::SaveVote(self.vote));
     }
 
     fn follow(&mut self, now_ms: u64, term: u64, leader: ReplicaId) {
         self.become_follower(term);
         self.leader = Some(leader);
-        self.leader_seen_ms = Some(now_ms);
+        self.leader_contact_ms = Some(now_ms);
     }
 
     fn become_follower(&mut self, term: u64) {
@@ -306,17 +319,17 @@
         self.set_term(term);
         if self.role == Role::Leader {
             self.fail_reads();
-            self.out.push(Action::LostLeadership);
+            self.actions.push(Action::LostLeadership);
             self.leader = None;
         }
         self.role = Role::Follower;
-        self.granted.clear();
+        self.granted_by.clear();
     }
 
-    fn draw_election_timeout(&mut self) {
-        let range = match self.leader_seen_ms {
-            None => self.options.first_election_ms(),
-            Some(_) => self.options.election_ms(),
+    fn randomize_election_timeout(&mut self) {
+        let range = match self.leader_contact_ms {
+            None => self.options.initial_election_timeout_range_ms(),
+            Some(_) => self.options.election_timeout_range_ms(),
         };
         self.election_timeout_ms = self.rng.random_range(range);
     }
--- a/crates/consensus/src/replica/replication.rs
+++ b/crates/consensus/src/replica/replication.rs
@@ -1,35 +1,39 @@
-//! Replication: heartbeats, entries, snapshots and the commit index.
+//! Replication of entries and snapshots, heartbeats, and the commit index.
 
 use super::{Progress, Replica, Role};
 use crate::{Action, Entry, Message, Options, Payload, Position, ReplicaId, Snapshot};
 
-/// How many rounds a leader remembers the sending time of.
-const ROUNDS_KEPT: usize = 128;
+/// The maximum number of heartbeat rounds whose send times a leader keeps.
+const TRACKED_ROUNDS_MAX: usize = 128;
 
 impl Progress {
-    /// Tells whether entries were sent of late and are not answered yet.
-    fn is_waiting(&self, now_ms: u64, options: &Options) -> bool {
-        const LOST_AFTER_HEARTBEATS: u64 = 5;
-        let lost_after_ms = options.heartbeat_ms * LOST_AFTER_HEARTBEATS;
-        self.in_flight_since_ms > 0 && now_ms < self.in_flight_since_ms + lost_after_ms
+    /// Returns true if entries or a snapshot await a reply and were sent too recently to be resent.
+    fn is_awaiting_reply(&self, now_ms: u64, options: &Options) -> bool {
+        const RESEND_AFTER_HEARTBEATS: u64 = 5;
+        let resend_after_ms = options.heartbeat_ms * RESEND_AFTER_HEARTBEATS;
+        self.in_flight_since_ms > 0 && now_ms < self.in_flight_since_ms + resend_after_ms
     }
 }
 
 impl Replica {
-    /// Appends a command as the leader; returns its position, or nothing where this replica does
-    /// not lead.
+    /// Appends a command as the leader; returns its position, or `None` if this replica does not
+    /// accept proposals.
     pub fn propose(&mut self, now_ms: u64, command: Vec<u8>) -> (Option<Position>, Vec<Action>) {
         self.propose_all(now_ms, vec![command])
             .map_or((None, Vec::new()), |(first, actions)| (Some(first), actions))
     }
 
-    /// Appends several commands with one durable write; returns the first one's position.
+    /// Appends several commands with one durable write; returns the first one's position, or `None`
+    /// if this replica does not accept proposals.
     pub fn propose_all(
         &mut self,
         now_ms: u64,
         commands: Vec<Vec<u8>>,
     ) -> Option<(Position, Vec<Action>)> {
-        if self.role != Role::Leader || self.leading.handing_over || commands.is_empty() {
+        if self.role != Role::Leader
+            || self.leader_state.transferring_leadership
+            || commands.is_empty()
+        {
             return None;
         }
         let first = Position { term: self.vote.term, index: self.log.last().index + 1 };
@@ -37,76 +41,77 @@
             position: Position { term: first.term, index: first.index + offset as u64 },
             payload: Payload::Command(data),
         };
-        self.append_own(commands.into_iter().enumerate().map(entry).collect());
+        self.append_as_leader(commands.into_iter().enumerate().map(entry).collect());
         for to in self.followers() {
-            if !self.is_waiting_for(now_ms, to) {
+            if !self.is_awaiting_reply_from(now_ms, to) {
                 self.replicate(now_ms, to);
             }
         }
-        self.note_quorum(now_ms);
+        self.update_quorum_contact(now_ms);
         self.advance_commit();
-        Some((first, self.take()))
+        Some((first, self.take_actions()))
     }
 
-    pub(super) fn append_own(&mut self, entries: Vec<Entry>) {
+    pub(super) fn append_as_leader(&mut self, entries: Vec<Entry>) {
         for entry in &entries {
             self.log.append(entry.clone());
         }
-        self.out.push(Action::Append(entries));
+        self.actions.push(Action::Append(entries));
     }
 
-    /// Returns all replicas that the leader sends to.
+    /// Returns the replicas that the leader replicates to: the other voters and the learners.
     pub(super) fn followers(&self) -> Vec<ReplicaId> {
         let voters = self.log.config().voters.keys();
-        voters.chain(&self.observers).copied().filter(|id| *id != self.id).collect()
+        voters.chain(&self.learners).copied().filter(|id| *id != self.id).collect()
     }
 
     pub(super) fn tick_leader(&mut self, now_ms: u64) {
-        self.note_quorum(now_ms);
-        if now_ms.saturating_sub(self.leading.quorum_seen_ms) > self.options.election_max_ms {
+        self.update_quorum_contact(now_ms);
+        if now_ms.saturating_sub(self.leader_state.quorum_contact_ms) > self.options.election_max_ms
+        {
             let term = self.vote.term;
             return self.become_follower(term);
         }
-        if now_ms.saturating_sub(self.leading.heartbeat_sent_ms) >= self.options.heartbeat_ms {
+        if now_ms.saturating_sub(self.leader_state.heartbeat_sent_ms) >= self.options.heartbeat_ms {
             self.broadcast(now_ms);
         }
     }
 
-    /// Starts a heartbeat round with all that each follower lacks.
+    /// Starts a heartbeat round that also sends each follower the entries it is missing.
     pub(super) fn broadcast(&mut self, now_ms: u64) {
-        self.leading.round += 1;
-        self.leading.heartbeat_sent_ms = now_ms;
-        self.leading.round_sent_ms.insert(self.leading.round, now_ms);
-        while self.leading.round_sent_ms.len() > ROUNDS_KEPT {
-            self.leading.round_sent_ms.pop_first();
+        self.leader_state.round += 1;
+        self.leader_state.heartbeat_sent_ms = now_ms;
+        self.leader_state.round_sent_ms.insert(self.leader_state.round, now_ms);
+        while self.leader_state.round_sent_ms.len() > TRACKED_ROUNDS_MAX {
+            self.leader_state.round_sent_ms.pop_first();
         }
         for to in self.followers() {
             self.replicate(now_ms, to);
         }
-        self.note_quorum(now_ms);
+        self.update_quorum_contact(now_ms);
         self.advance_commit();
     }
 
-    /// Tells whether `to` has not yet answered the entries sent to it; more follow its answer.
-    fn is_waiting_for(&self, now_ms: u64, to: ReplicaId) -> bool {
-        let progress = self.leading.progress.get(&to);
-        progress.is_some_and(|progress| progress.is_waiting(now_ms, &self.options))
+    /// Returns true if `to` has yet to reply to the last entries; its reply triggers the next ones.
+    fn is_awaiting_reply_from(&self, now_ms: u64, to: ReplicaId) -> bool {
+        let progress = self.leader_state.progress.get(&to);
+        progress.is_some_and(|progress| progress.is_awaiting_reply(now_ms, &self.options))
     }
 
     fn replicate(&mut self, now_ms: u64, to: ReplicaId) {
         let next_index = self.log.last().index + 1;
-        let fresh = Progress { next: next_index, answered_ms: now_ms, ..Progress::default() };
-        let progress = self.leading.progress.entry(to).or_insert(fresh);
+        let initial = Progress { next: next_index, last_reply_ms: now_ms, ..Progress::default() };
+        let progress = self.leader_state.progress.entry(to).or_insert(initial);
         let previous_index = progress.next.saturating_sub(1);
-        let waiting = progress.is_waiting(now_ms, &self.options);
-        let (term, round) = (self.vote.term, self.leading.round);
+        let awaiting_reply = progress.is_awaiting_reply(now_ms, &self.options);
+        let (term, round) = (self.vote.term, self.leader_state.round);
         let Some(previous_term) = self.log.term_at(previous_index) else {
-            return self.send_snapshot(now_ms, to, waiting);
+            return self.send_snapshot(now_ms, to, awaiting_reply);
         };
-        let entries = if waiting {
+        let entries = if awaiting_reply {
             Vec::new()
         } else {
-            self.log.slice_after(previous_index, self.options.append_max_bytes)
+            self.log.entries_after(previous_index, self.options.append_max_bytes)
         };
         if !entries.is_empty() {
             progress.in_flight_since_ms = now_ms.max(1);
@@ -116,15 +121,15 @@
         self.send(to, Message::Append { term, previous, entries, commit: self.commit, round });
     }
 
-    fn send_snapshot(&mut self, now_ms: u64, to: ReplicaId, waiting: bool) {
-        let (term, round) = (self.vote.term, self.leading.round);
-        if waiting {
+    fn send_snapshot(&mut self, now_ms: u64, to: ReplicaId, awaiting_reply: bool) {
+        let (term, round) = (self.vote.term, self.leader_state.round);
+        if awaiting_reply {
             let previous = Position::default();
             let heartbeat =
                 Message::Append { term, previous, entries: Vec::new(), commit: 0, round };
             return self.send(to, heartbeat);
         }
-        if let Some(progress) = self.leading.progress.get_mut(&to) {
+        if let Some(progress) = self.leader_state.progress.get_mut(&to) {
             progress.in_flight_since_ms = now_ms.max(1);
             progress.in_flight_round = round;
         }
@@ -147,21 +152,22 @@
                 Message::AppendReply { term: self.vote.term, accepted: false, index, round };
             return self.send(from, reply);
         }
-        let covered = previous.index < self.log.snapshot.position.index;
-        if !covered && self.log.term_at(previous.index) != Some(previous.term) {
+        let is_covered = previous.index < self.log.snapshot.position.index;
+        if !is_covered && self.log.term_at(previous.index) != Some(previous.term) {
             let index = self.log.last().index.min(previous.index.saturating_sub(1));
             return self.send(from, Message::AppendReply { term, accepted: false, index, round });
         }
         let matched = previous.index + entries.len() as u64;
-        self.store_new(entries);
+        self.append_missing(entries);
         self.commit_to(commit.min(matched));
         self.send(from, Message::AppendReply { term, accepted: true, index: matched, round });
     }
 
-    /// Stores the entries that the log does not hold, replacing those that differ.
-    fn store_new(&mut self, entries: Vec<Entry>) {
-        let covered = self.log.snapshot.position.index;
-        let mut new = entries.into_iter().filter(|entry| entry.position.index > covered).peekable();
+    /// Appends the entries that the log is missing, replacing those that conflict.
+    fn append_missing(&mut self, entries: Vec<Entry>) {
+        let covered_index = self.log.snapshot.position.index;
+        let mut new =
+            entries.into_iter().filter(|entry| entry.position.index > covered_index).peekable();
         while let Some(entry) = new.peek() {
             if self.log.term_at(entry.position.index) != Some(entry.position.term) {
                 break;
@@ -174,7 +180,7 @@
         for entry in &new {
             self.log.append(entry.clone());
         }
-        self.out.push(Action::Append(new));
+        self.actions.push(Action::Append(new));
     }
 
     pub(super) fn on_install(
@@ -191,11 +197,11 @@
         }
         let index = snapshot.position.index;
         if index > self.commit {
-            let reset = self.log.install(snapshot.clone());
+            let reset = self.log.install_snapshot(snapshot.clone());
             self.commit = index;
             self.applied = index;
-            self.out.push(Action::SaveSnapshot { snapshot: snapshot.clone(), reset });
-            self.out.push(Action::Restore(snapshot));
+            self.actions.push(Action::SaveSnapshot { snapshot: snapshot.clone(), reset });
+            self.actions.push(Action::Restore(snapshot));
         }
         self.send(from, Message::AppendReply { term, accepted: true, index, round });
     }
@@ -216,9 +222,9 @@
             return;
         }
         let last_index = self.log.last().index;
-        let Some(progress) = self.leading.progress.get_mut(&from) else { return };
+        let Some(progress) = self.leader_state.progress.get_mut(&from) else { return };
         progress.acked_round = progress.acked_round.max(round);
-        progress.answered_ms = now_ms;
+        progress.last_reply_ms = now_ms;
         if round >= progress.in_flight_round {
             progress.in_flight_since_ms = 0;
         }
@@ -228,37 +234,44 @@
         } else {
             progress.next = (index + 1).min(progress.next).max(progress.matched + 1);
         }
-        let lacks = progress.next <= last_index;
-        self.note_quorum(now_ms);
+        let is_behind = progress.next <= last_index;
+        self.update_quorum_contact(now_ms);
         self.advance_commit();
-        if lacks && self.role == Role::Leader {
+        if is_behind && self.role == Role::Leader {
             self.replicate(now_ms, from);
         }
     }
 
-    /// Notes when a quorum was last known to follow, and answers the reads that it covers.
-    pub(super) fn note_quorum(&mut self, now_ms: u64) {
-        let round =
-            self.quorum_value(|replica| replica.leading.round, |progress| progress.acked_round);
-        if round == self.leading.round && self.log.config().quorum() == 1 {
-            self.leading.quorum_seen_ms = now_ms;
-        } else if let Some(sent_ms) = self.leading.round_sent_ms.get(&round) {
-            self.leading.quorum_seen_ms = self.leading.quorum_seen_ms.max(*sent_ms);
+    /// Updates the time of the last contact with a quorum, which renews the lease, and completes the
+    /// reads that the acknowledged round confirms.
+    pub(super) fn update_quorum_contact(&mut self, now_ms: u64) {
+        let round = self
+            .quorum_value(|replica| replica.leader_state.round, |progress| progress.acked_round);
+        if round == self.leader_state.round && self.log.config().quorum() == 1 {
+            self.leader_state.quorum_contact_ms = now_ms;
+        } else if let Some(sent_ms) = self.leader_state.round_sent_ms.get(&round) {
+            self.leader_state.quorum_contact_ms = self.leader_state.quorum_contact_ms.max(*sent_ms);
         }
-        self.release_reads(round);
+        self.complete_reads(round);
     }
 
-    /// Returns the highest value that a quorum of voters has reached.
+    /// Returns the highest value that a quorum of voters has reached, with `own` for this replica and
+    /// `of` for the others.
     fn quorum_value(&self, own: impl Fn(&Self) -> u64, of: impl Fn(&Progress) -> u64) -> u64 {
         let config = self.log.config();
         let value = |id: &ReplicaId| {
-            if *id == self.id { own(self) } else { self.leading.progress.get(id).map_or(0, &of) }
+            if *id == self.id {
+                own(self)
+            } else {
+                self.leader_state.progress.get(id).map_or(0, &of)
+            }
         };
         let mut values: Vec<u64> = config.voters.keys().map(value).collect();
         values.sort_unstable_by(|a, b| b.cmp(a));
         values.get(config.quorum() - 1).copied().unwrap_or(0)
     }
 
+    /// Commits up to the highest index that a quorum holds, if that entry is of the current term.
     pub(super) fn advance_commit(&mut self) {
         let index =
             self.quorum_value(|replica| replica.log.last().index, |progress| progress.matched);
@@ -273,7 +286,7 @@
         while self.applied < self.commit {
             let Some(entry) = self.log.get(self.applied + 1).cloned() else { return };
             self.applied += 1;
-            self.out.push(Action::Apply(entry));
+            self.actions.push(Action::Apply(entry));
         }
     }
 }
--- a/crates/consensus/src/storage/disk.rs
+++ b/crates/consensus/src/storage/disk.rs
@@ -1,4 +1,4 @@
-//! Storage in one folder.
+//! Storage of a replica's state as files in one folder.
 
 use super::{Error, Storage, record};
 use crate::{Entry, Persisted, ReplicaId, Snapshot, Vote};
@@ -14,25 +14,25 @@
 const SNAPSHOT_FILE: &str = "snapshot";
 const LOG_FILE: &str = "log";
 
-/// Files in a folder that belongs to one replica.
+/// Stores the state of one replica as files in a folder.
 #[derive(Debug)]
 pub struct Disk {
     folder: PathBuf,
     log: File,
     log_bytes: u64,
-    /// The entries of the log file, by which it is rewritten after a snapshot.
+    /// The entries in the log file, from which the file is rewritten after a snapshot.
     entries: Vec<Entry>,
 }
 
 impl Disk {
-    /// Opens the folder, making it where it does not exist.
+    /// Opens the folder, creating it if it does not exist.
     ///
     /// # Errors
-    /// Fails where the folder or its log cannot be opened for writing.
+    /// Fails if the folder cannot be created or its log cannot be opened for writing.
     pub fn open(folder: impl Into<PathBuf>) -> Result<Self, Error> {
         let folder = folder.into();
         fs::create_dir_all(&folder)
-            .map_err(|cause| Error::Io("make folder", folder.clone(), cause))?;
+            .map_err(|cause| Error::Io("create folder", folder.clone(), cause))?;
         let log = open_log(&folder.join(LOG_FILE))?;
         Ok(Self { folder, log, log_bytes: 0, entries: Vec::new() })
     }
@@ -51,22 +51,23 @@
                 record::Read::Record(payload, next) => {
                     let entries: Vec<Entry> = decode(&path, offset, payload)?;
                     for entry in entries {
-                        self.keep(entry);
+                        self.push_replacing(entry);
                     }
                     offset = next;
                 }
                 record::Read::Torn => break,
-                record::Read::Corrupt(why) => {
-                    return Err(Error::Corrupt(path, offset as u64, why.to_owned()));
+                record::Read::Corrupt(reason) => {
+                    return Err(Error::Corrupt(path, offset as u64, reason.to_owned()));
                 }
             }
         }
-        self.cut(offset as u64)?;
+        self.truncate_log(offset as u64)?;
         self.entries.retain(|entry| entry.position.index > snapshot.position.index);
-        self.check_gap(snapshot)
+        self.check_contiguous(snapshot)
     }
 
-    fn check_gap(&self, snapshot: &Snapshot) -> Result<(), Error> {
+    /// Checks that the entries follow the snapshot without a gap.
+    fn check_contiguous(&self, snapshot: &Snapshot) -> Result<(), Error> {
         for (expected, entry) in (snapshot.position.index + 1..).zip(&self.entries) {
             if entry.position.index != expected {
                 let message = format!("entry {expected} is missing");
@@ -76,7 +77,8 @@
         Ok(())
     }
 
-    fn keep(&mut self, entry: Entry) {
+    /// Adds an entry, removing those at its index and after it.
+    fn push_replacing(&mut self, entry: Entry) {
         let index = entry.position.index;
         while self.entries.last().is_some_and(|last| last.position.index >= index) {
             self.entries.pop();
@@ -84,13 +86,13 @@
         self.entries.push(entry);
     }
 
-    /// Cuts the log file to `length` bytes.
-    fn cut(&mut self, length: u64) -> Result<(), Error> {
+    /// Truncates the log file to `length` bytes.
+    fn truncate_log(&mut self, length: u64) -> Result<(), Error> {
         let path = self.path(LOG_FILE);
-        let step = |cause| Error::Io("cut", path.clone(), cause);
-        self.log.set_len(length).map_err(step)?;
-        self.log.seek(SeekFrom::Start(length)).map_err(step)?;
-        self.log.sync_data().map_err(step)?;
+        let io_error = |cause| Error::Io("truncate", path.clone(), cause);
+        self.log.set_len(length).map_err(io_error)?;
+        self.log.seek(SeekFrom::Start(length)).map_err(io_error)?;
+        self.log.sync_data().map_err(io_error)?;
         self.log_bytes = length;
         Ok(())
     }
@@ -101,7 +103,7 @@
             record::write(&mut bytes, &encode(&std::slice::from_ref(entry)));
         }
         let path = self.path(LOG_FILE);
-        replace(&self.folder, LOG_FILE, &bytes)?;
+        replace_file(&self.folder, LOG_FILE, &bytes)?;
         self.log = open_log(&path)?;
         self.log_bytes = bytes.len() as u64;
         let seek = self.log.seek(SeekFrom::Start(self.log_bytes));
@@ -131,18 +133,18 @@
     }
 
     fn append(&mut self, entries: &[Entry]) -> Result<(), Error> {
-        // One record for all: of a write that is interrupted, no part counts without the others.
+        // All entries go into one record, so an interrupted write stores all of them or none.
         let mut bytes = Vec::new();
         record::write(&mut bytes, &encode(&entries));
         let written = self.log.write_all(&bytes).and_then(|()| self.log.sync_data());
         if let Err(cause) = written {
-            let whole = self.log_bytes;
-            self.cut(whole)?;
+            let length = self.log_bytes;
+            self.truncate_log(length)?;
             return Err(Error::Io("append to", self.path(LOG_FILE), cause));
         }
         self.log_bytes += bytes.len() as u64;
         for entry in entries {
-            self.keep(entry.clone());
+            self.push_replacing(entry.clone());
         }
         Ok(())
     }
@@ -179,26 +181,26 @@
     match record::read(&bytes, 0) {
         record::Read::Record(payload, _) => decode(path, 0, payload).map(Some),
         record::Read::Torn => {
-            Err(Error::Corrupt(path.to_owned(), 0, "it ends too soon".to_owned()))
+            Err(Error::Corrupt(path.to_owned(), 0, "record is truncated".to_owned()))
         }
-        record::Read::Corrupt(why) => Err(Error::Corrupt(path.to_owned(), 0, why.to_owned())),
+        record::Read::Corrupt(reason) => Err(Error::Corrupt(path.to_owned(), 0, reason.to_owned())),
     }
 }
 
 fn save_record<T: Serialize>(folder: &Path, file: &str, value: &T) -> Result<(), Error> {
     let mut bytes = Vec::new();
     record::write(&mut bytes, &encode(value));
-    replace(folder, file, &bytes)
+    replace_file(folder, file, &bytes)
 }
 
-/// Replaces a file whole: a crash leaves either the old or the new content.
-fn replace(folder: &Path, file: &str, bytes: &[u8]) -> Result<(), Error> {
+/// Replaces a file atomically: a crash leaves either the old or the new content.
+fn replace_file(folder: &Path, file: &str, bytes: &[u8]) -> Result<(), Error> {
     let temporary = folder.join(format!("{file}.new"));
     let target = folder.join(file);
-    let step = |cause| Error::Io("replace", target.clone(), cause);
-    let mut new = File::create(&temporary).map_err(step)?;
-    new.write_all(bytes).map_err(step)?;
-    new.sync_all().map_err(step)?;
-    fs::rename(&temporary, &target).map_err(step)?;
-    File::open(folder).and_then(|folder| folder.sync_all()).map_err(step)
+    let io_error = |cause| Error::Io("replace", target.clone(), cause);
+    let mut new = File::create(&temporary).map_err(io_error)?;
+    new.write_all(bytes).map_err(io_error)?;
+    new.sync_all().map_err(io_error)?;
+    fs::rename(&temporary, &target).map_err(io_error)?;
+    File::open(folder).and_then(|folder| folder.sync_all()).map_err(io_error)
 }
--- a/crates/consensus/src/storage/mod.rs
+++ b/crates/consensus/src/storage/mod.rs
@@ -10,12 +10,12 @@
 use std::path::PathBuf;
 
 quick_error! {
-    /// A failed step on a file.
+    /// A failed storage operation.
     #[derive(Debug)]
     pub enum Error {
-        /// The operating system refused the step.
-        Io(step: &'static str, path: PathBuf, cause: std::io::Error) {
-            display("{} {}: {}", step, path.display(), cause)
+        /// The operating system reported an error.
+        Io(operation: &'static str, path: PathBuf, cause: std::io::Error) {
+            display("{} {}: {}", operation, path.display(), cause)
             source(cause)
         }
         /// The file's content is damaged.
@@ -25,29 +25,29 @@
     }
 }
 
-/// Where a replica keeps what must survive; each call is durable when it returns.
+/// Durable storage of a replica; the effect of each call is durable when it returns.
 pub trait Storage {
-    /// Returns the identity of this storage and all that it holds.
+    /// Returns the replica's identity and its stored state, creating the identity on first use.
     ///
     /// # Errors
-    /// Fails where a file cannot be read or is damaged.
+    /// Fails if a file cannot be read or is damaged, or if a new identity cannot be stored.
     fn load(&mut self) -> Result<(ReplicaId, Persisted), Error>;
 
-    /// Stores the vote.
+    /// Stores the term and vote.
     ///
     /// # Errors
-    /// Fails where the vote is not known to be durable.
+    /// Fails if the vote is not known to be durable.
     fn save_vote(&mut self, vote: &Vote) -> Result<(), Error>;
 
-    /// Stores entries, replacing those from the first one's index on.
+    /// Stores entries, replacing all stored entries from the first one's index on.
     ///
     /// # Errors
-    /// Fails where the entries are not known to be durable.
+    /// Fails if the entries are not known to be durable.
     fn append(&mut self, entries: &[Entry]) -> Result<(), Error>;
 
-    /// Stores a snapshot and drops the entries that it covers, or all of them with `reset`.
+    /// Stores a snapshot and deletes the entries that it covers, or all entries with `reset`.
     ///
     /// # Errors
-    /// Fails where the snapshot is not known to be durable.
+    /// Fails if the snapshot is not known to be durable.
     fn save_snapshot(&mut self, snapshot: &Snapshot, reset: bool) -> Result<(), Error>;
 }
--- a/crates/consensus/src/types.rs
+++ b/crates/consensus/src/types.rs
@@ -1,11 +1,11 @@
-//! What a replica keeps and exchanges.
+//! Types that a replica stores and exchanges with its peers.
 
 use lycheehub_types::InstanceName;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 use std::fmt;
 
-/// The identity of a replica's data folder; a replica that lost its disk has a new one.
+/// The identity of a replica, stored in its data folder; a replica that lost its disk gets a new one.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct ReplicaId(pub u64);
@@ -16,7 +16,7 @@
     }
 }
 
-/// The voters, with the instance that runs each.
+/// The configuration of the group: its voters and the instance that runs each.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Config {
     /// The replicas whose votes and acknowledgements count.
@@ -24,23 +24,23 @@
 }
 
 impl Config {
-    /// Returns how many voters make a quorum.
+    /// Returns the number of voters in a quorum.
     pub fn quorum(&self) -> usize {
         self.voters.len() / 2 + 1
     }
 
-    /// Tells whether `id` is a voter.
+    /// Returns true if `id` is a voter.
     pub fn is_voter(&self, id: ReplicaId) -> bool {
         self.voters.contains_key(&id)
     }
 }
 
-/// What an entry holds.
+/// The content of an entry.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Payload {
-    /// Nothing; a new leader's first entry.
+    /// No content; the first entry of a new leader.
     Noop,
-    /// The voters from this entry on.
+    /// The configuration in force from this entry on.
     Config(Config),
     /// A command for the state machine.
     Command(Vec<u8>),
@@ -49,9 +49,9 @@
 /// The term and index of an entry.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Position {
-    /// The term of the leader that made the entry.
+    /// The term of the leader that created the entry.
     pub term: u64,
-    /// The place in the log, from 1.
+    /// The position in the log, starting at 1.
     pub index: u64,
 }
 
@@ -60,34 +60,34 @@
 pub struct Entry {
     /// The entry's term and index.
     pub position: Position,
-    /// What the entry holds.
+    /// The entry's content.
     pub payload: Payload,
 }
 
-/// The state that replaces the log up to a position.
+/// A snapshot that replaces the log up to a position.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Snapshot {
-    /// The last entry that the snapshot covers.
+    /// The position of the last entry that the snapshot covers.
     pub position: Position,
-    /// The voters at that position.
+    /// The configuration at that position.
     pub config: Config,
     /// The state machine's state.
     pub data: Vec<u8>,
 }
 
-/// The current term and the vote given in it.
+/// The current term and the vote cast in it.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Vote {
     /// The current term.
     pub term: u64,
-    /// The replica that got this term's vote.
+    /// The replica that this replica voted for in this term.
     pub voted_for: Option<ReplicaId>,
 }
 
-/// All that a restarted replica starts from.
+/// The persistent state from which a replica restarts.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Persisted {
-    /// The vote.
+    /// The current term and vote.
     pub vote: Vote,
     /// The newest snapshot.
     pub snapshot: Snapshot,
--- a/crates/consensus/tests/consensus/founding.rs
+++ b/crates/consensus/tests/consensus/bootstrap.rs
@@ -1,6 +1,6 @@
 //! The first configuration is made once, and never by a replica that lost its disk.
 
-use lycheehub_consensus::founding::{Outcome, Status, decide};
+use lycheehub_consensus::bootstrap::{Outcome, Status, decide};
 use lycheehub_consensus::{Config, ReplicaId};
 use lycheehub_types::InstanceName;
 use std::collections::BTreeMap;
@@ -17,7 +17,7 @@
 fn the_lowest_seed_founds_only_with_an_empty_answer_from_all() {
     let answers = BTreeMap::from([("b".into(), empty(2)), ("c".into(), empty(3))]);
     let outcome = decide(ReplicaId(1), &"a".into(), &names(), &answers);
-    assert!(matches!(outcome, Outcome::Found(config) if config.voters.len() == 3));
+    assert!(matches!(outcome, Outcome::Bootstrap(config) if config.voters.len() == 3));
     let silent = BTreeMap::from([("b".into(), empty(2))]);
     assert_eq!(decide(ReplicaId(1), &"a".into(), &names(), &silent), Outcome::Wait);
     assert_eq!(decide(ReplicaId(2), &"b".into(), &names(), &answers), Outcome::Wait);
--- a/crates/consensus/tests/consensus/main.rs
+++ b/crates/consensus/tests/consensus/main.rs
@@ -1,6 +1,6 @@
 //! Tests of the replicated log: fault schedules over pure replicas, and storage on a real disk.
 
-mod founding;
+mod bootstrap;
 mod membership;
 mod schedules;
 mod storage;
--- a/crates/consensus/tests/consensus/membership.rs
+++ b/crates/consensus/tests/consensus/membership.rs
@@ -44,11 +44,11 @@
         }
     }
 
-    fn maintain(&mut self, live: &[u64], answering: &[u64]) {
+    fn reconcile_voters(&mut self, live: &[u64], answering: &[u64]) {
         let mut known = voters();
         known.insert(NEWCOMER, "core-9".into());
         known.retain(|id, _| live.contains(&id.0));
-        let actions = self.leader.maintain(self.now_ms, &known);
+        let actions = self.leader.reconcile_voters(self.now_ms, &known);
         self.answer(actions, answering);
     }
 
@@ -101,15 +101,15 @@
 #[test]
 fn a_voter_that_is_gone_gives_its_place_to_a_newcomer() {
     let mut group = Group::new();
-    group.maintain(&[1, 2, 3, 4, 9], &[2, 3, 4, 9]);
+    group.reconcile_voters(&[1, 2, 3, 4, 9], &[2, 3, 4, 9]);
     group.pass(3_000, &[2, 3, 4, 9]);
-    group.maintain(&[1, 2, 3, 4, 9], &[2, 3, 4, 9]);
+    group.reconcile_voters(&[1, 2, 3, 4, 9], &[2, 3, 4, 9]);
     assert_eq!(group.voter_ids(), [1, 2, 3, 4, 5], "it may only be restarting");
 
     group.pass(3_000, &[2, 3, 4, 9]);
-    group.maintain(&[1, 2, 3, 4, 9], &[2, 3, 4, 9]);
+    group.reconcile_voters(&[1, 2, 3, 4, 9], &[2, 3, 4, 9]);
     assert_eq!(group.voter_ids(), [1, 2, 3, 4]);
-    group.maintain(&[1, 2, 3, 4, 9], &[2, 3, 4, 9]);
+    group.reconcile_voters(&[1, 2, 3, 4, 9], &[2, 3, 4, 9]);
     assert_eq!(group.voter_ids(), [1, 2, 3, 4, 9]);
     assert_eq!(group.appended.as_ref().map(|config| config.voters.len()), Some(5));
 }
@@ -117,17 +117,17 @@
 #[test]
 fn a_silent_voter_keeps_its_place_where_nobody_can_take_it() {
     let mut group = Group::new();
-    group.maintain(&[1, 2, 3, 4], &[2, 3, 4]);
+    group.reconcile_voters(&[1, 2, 3, 4], &[2, 3, 4]);
     group.pass(20_000, &[2, 3, 4]);
-    group.maintain(&[1, 2, 3, 4], &[2, 3, 4]);
+    group.reconcile_voters(&[1, 2, 3, 4], &[2, 3, 4]);
     assert_eq!(group.voter_ids(), [1, 2, 3, 4, 5]);
 }
 
 #[test]
 fn a_newcomer_that_has_not_caught_up_takes_no_place() {
     let mut group = Group::new();
-    group.maintain(&[1, 2, 3, 4, 9], &[2, 3, 4]);
+    group.reconcile_voters(&[1, 2, 3, 4, 9], &[2, 3, 4]);
     group.pass(20_000, &[2, 3, 4]);
-    group.maintain(&[1, 2, 3, 4, 9], &[2, 3, 4]);
+    group.reconcile_voters(&[1, 2, 3, 4, 9], &[2, 3, 4]);
     assert_eq!(group.voter_ids(), [1, 2, 3, 4, 5]);
 }
--- a/crates/consensus/tests/consensus/world/mod.rs
+++ b/crates/consensus/tests/consensus/world/mod.rs
@@ -194,11 +194,17 @@
                 let at = usize::from(node) % SIZE;
                 let data = encode(&self.nodes[at].applied);
                 self.drive(at, |replica, _| {
-                    if replica.compactable() > 3 { replica.compact(data) } else { Vec::new() }
+                    if replica.compactable_entries() > 3 {
+                        replica.compact(data)
+                    } else {
+                        Vec::new()
+                    }
                 });
             }
             Step::HandOver(node) => {
-                self.drive(usize::from(node) % SIZE, |replica, now_ms| replica.hand_over(now_ms));
+                self.drive(usize::from(node) % SIZE, |replica, now_ms| {
+                    replica.transfer_leadership(now_ms)
+                });
             }
         }
         self.check_leases();
@@ -218,7 +224,7 @@
             .collect();
         for at in 0..SIZE {
             self.drive(at, |replica, now_ms| replica.tick(now_ms));
-            self.drive(at, |replica, now_ms| replica.maintain(now_ms, &live));
+            self.drive(at, |replica, now_ms| replica.reconcile_voters(now_ms, &live));
             self.check_leases();
         }
     }
--- a/crates/peer/src/node/calls.rs
+++ b/crates/peer/src/node/calls.rs
@@ -1,7 +1,7 @@
 //! Calls to other instances.
 
 use super::{Core, Node};
-use lycheehub_consensus::founding::Status;
+use lycheehub_consensus::bootstrap::Status;
 use lycheehub_consensus::{Config, Message, ReplicaId};
 use lycheehub_types::{InstanceName, PeerError};
 use lycheehub_wire::peer_capnp::peer;
--- a/crates/peer/src/node/directory.rs
+++ b/crates/peer/src/node/directory.rs
@@ -216,7 +216,7 @@
 
 impl Core {
     fn hears_leader(&self, now_ms: u64, within_ms: u64) -> bool {
-        self.replica().is_some_and(|replica| replica.hears_leader(now_ms, within_ms))
+        self.replica().is_some_and(|replica| replica.has_leader_contact(now_ms, within_ms))
     }
 
     /// Returns the revision here, or 0 without a leader: others may have accepted more since.
--- a/crates/peer/src/node/driver.rs
+++ b/crates/peer/src/node/driver.rs
@@ -77,7 +77,7 @@
     /// Makes a snapshot where the log has grown as large as the last one, so that all snapshots
     /// together cost about as much as the log.
     fn compact_if_due(&mut self, state: &State) -> Vec<Action> {
-        let entries = self.replica.compactable();
+        let entries = self.replica.compactable_entries();
         let is_long = entries >= SNAPSHOT_ENTRIES || self.applied_bytes >= SNAPSHOT_BYTES;
         if !is_long || self.applied_bytes < self.snapshot_bytes {
             return Vec::new();
--- a/crates/peer/src/node/founding.rs
+++ b/crates/peer/src/node/founding.rs
@@ -1,7 +1,7 @@
 //! Takes part in making the very first configuration.
 
 use super::Node;
-use lycheehub_consensus::founding::{self, Outcome, Status};
+use lycheehub_consensus::bootstrap::{self, Outcome, Status};
 use lycheehub_types::InstanceName;
 use smol::Timer;
 use std::collections::BTreeMap;
@@ -19,12 +19,12 @@
             let answers = self.ask_founders(&founders).await;
             let own = self.replica_status().id;
             let name = &self.settings.instance;
-            let outcome = founding::decide(own, name, &founders, &answers);
-            if let Outcome::Found(config) = outcome
+            let outcome = bootstrap::decide(own, name, &founders, &answers);
+            if let Outcome::Bootstrap(config) = outcome
                 && (self.settings.may_found || answers.values().any(|a| a.config == config))
             {
                 spdlog::info!("first configuration taken", kv: { voters = config.voters.len() as u64 });
-                self.drive(|driver, _| driver.replica.found(config));
+                self.drive(|driver, _| driver.replica.bootstrap(config));
                 return;
             }
             Timer::after(Duration::from_millis(ASK_AGAIN_MS)).await;
@@ -32,7 +32,7 @@
     }
 
     fn is_founded(&self) -> bool {
-        self.core.borrow().replica().is_none_or(|replica| replica.is_founded())
+        self.core.borrow().replica().is_none_or(|replica| replica.is_bootstrapped())
     }
 
     async fn ask_founders(&self, founders: &[InstanceName]) -> BTreeMap<InstanceName, Status> {
--- a/crates/peer/src/node/membership.rs
+++ b/crates/peer/src/node/membership.rs
@@ -19,7 +19,7 @@
         };
         self.drive(|driver, now_ms| {
             let before = driver.replica.config().clone();
-            let actions = driver.replica.maintain(now_ms, &live);
+            let actions = driver.replica.reconcile_voters(now_ms, &live);
             if *driver.replica.config() != before {
                 let voters = driver.replica.config().voters.len() as u64;
                 spdlog::info!("voters change", kv: { voters, config:? = driver.replica.config() });
--- a/crates/peer/src/node/requests.rs
+++ b/crates/peer/src/node/requests.rs
@@ -144,7 +144,7 @@
         self.core.borrow_mut().own.stopping = true;
         self.report();
         self.beat_urgently();
-        self.drive(|driver, now_ms| driver.replica.hand_over(now_ms));
+        self.drive(|driver, now_ms| driver.replica.transfer_leadership(now_ms));
         smol::Timer::after(std::time::Duration::from_millis(PASS_ON_MS)).await;
     }
 }
