--- a/crates/consensus/tests/consensus/membership.rs
+++ b/crates/consensus/tests/consensus/membership.rs
@@ -1,4 +1,4 @@
-//! A voter that is gone for good gives its place to a replica that holds all that is committed.
+//! A voter that is lost for good is replaced by a learner that holds every committed entry.
 
 use lycheehub_consensus::{
     Action, Config, Message, Options, Payload, Persisted, Position, Replica, ReplicaId, Snapshot,
@@ -6,17 +6,17 @@
 use lycheehub_types::InstanceName;
 use std::collections::BTreeMap;
 
-const NEWCOMER: ReplicaId = ReplicaId(9);
+const LEARNER: ReplicaId = ReplicaId(9);
 
 fn voters() -> BTreeMap<ReplicaId, InstanceName> {
     (1..=5).map(|id| (ReplicaId(id), InstanceName::from(format!("core-{id}")))).collect()
 }
 
-/// A leader of five voters, and the replicas that answer it.
+/// An established leader of five voters, with simulated replies from the other replicas.
 struct Group {
     leader: Replica,
     now_ms: u64,
-    /// The last voters that the leader has appended.
+    /// The last configuration that the leader appended.
     appended: Option<Config>,
 }
 
@@ -30,34 +30,34 @@
         let persisted = Persisted { snapshot, ..Persisted::default() };
         let leader = Replica::new(ReplicaId(1), Options::default(), persisted, 7, 0);
         let mut group = Self { leader, now_ms: 0, appended: None };
-        group.pass(4_000, &[2, 3, 4, 5]);
+        group.advance(4_000, &[2, 3, 4, 5]);
         assert!(group.leader.is_established());
         group
     }
 
-    /// Lets time pass while these replicas answer at once.
-    fn pass(&mut self, for_ms: u64, answering: &[u64]) {
+    /// Advances time while the `responsive` replicas reply at once.
+    fn advance(&mut self, for_ms: u64, responsive: &[u64]) {
         for _ in 0..for_ms / 50 {
             self.now_ms += 50;
             let actions = self.leader.tick(self.now_ms);
-            self.answer(actions, answering);
+            self.deliver_replies(actions, responsive);
         }
     }
 
-    fn reconcile_voters(&mut self, live: &[u64], answering: &[u64]) {
-        let mut known = voters();
-        known.insert(NEWCOMER, "core-9".into());
-        known.retain(|id, _| live.contains(&id.0));
-        let actions = self.leader.reconcile_voters(self.now_ms, &known);
-        self.answer(actions, answering);
+    fn reconcile_voters(&mut self, live: &[u64], responsive: &[u64]) {
+        let mut live_replicas = voters();
+        live_replicas.insert(LEARNER, "core-9".into());
+        live_replicas.retain(|id, _| live.contains(&id.0));
+        let actions = self.leader.reconcile_voters(self.now_ms, &live_replicas);
+        self.deliver_replies(actions, responsive);
     }
 
-    fn answer(&mut self, mut actions: Vec<Action>, answering: &[u64]) {
+    fn deliver_replies(&mut self, mut actions: Vec<Action>, responsive: &[u64]) {
         while !actions.is_empty() {
             let mut next = Vec::new();
             for action in actions {
                 match action {
-                    Action::Send { to, message } if answering.contains(&to.0) => {
+                    Action::Send { to, message } if responsive.contains(&to.0) => {
                         if let Some(reply) = reply(message) {
                             next.extend(self.leader.receive(self.now_ms, to, reply));
                         }
@@ -81,7 +81,7 @@
     }
 }
 
-/// Answers as a replica that agrees with everything.
+/// Returns the reply of a replica that accepts everything.
 fn reply(message: Message) -> Option<Message> {
     Some(match message {
         Message::PreVote { term, .. } => Message::PreVoteReply { term, granted: true },
@@ -99,14 +99,14 @@
 }
 
 #[test]
-fn a_voter_that_is_gone_gives_its_place_to_a_newcomer() {
+fn a_lost_voter_is_replaced_by_a_learner() {
     let mut group = Group::new();
     group.reconcile_voters(&[1, 2, 3, 4, 9], &[2, 3, 4, 9]);
-    group.pass(3_000, &[2, 3, 4, 9]);
+    group.advance(3_000, &[2, 3, 4, 9]);
     group.reconcile_voters(&[1, 2, 3, 4, 9], &[2, 3, 4, 9]);
-    assert_eq!(group.voter_ids(), [1, 2, 3, 4, 5], "it may only be restarting");
+    assert_eq!(group.voter_ids(), [1, 2, 3, 4, 5], "the voter may only be restarting");
 
-    group.pass(3_000, &[2, 3, 4, 9]);
+    group.advance(3_000, &[2, 3, 4, 9]);
     group.reconcile_voters(&[1, 2, 3, 4, 9], &[2, 3, 4, 9]);
     assert_eq!(group.voter_ids(), [1, 2, 3, 4]);
     group.reconcile_voters(&[1, 2, 3, 4, 9], &[2, 3, 4, 9]);
@@ -115,19 +115,19 @@
 }
 
 #[test]
-fn a_silent_voter_keeps_its_place_where_nobody_can_take_it() {
+fn an_unresponsive_voter_stays_if_no_learner_can_replace_it() {
     let mut group = Group::new();
     group.reconcile_voters(&[1, 2, 3, 4], &[2, 3, 4]);
-    group.pass(20_000, &[2, 3, 4]);
+    group.advance(20_000, &[2, 3, 4]);
     group.reconcile_voters(&[1, 2, 3, 4], &[2, 3, 4]);
     assert_eq!(group.voter_ids(), [1, 2, 3, 4, 5]);
 }
 
 #[test]
-fn a_newcomer_that_has_not_caught_up_takes_no_place() {
+fn a_learner_that_has_not_caught_up_replaces_no_voter() {
     let mut group = Group::new();
     group.reconcile_voters(&[1, 2, 3, 4, 9], &[2, 3, 4]);
-    group.pass(20_000, &[2, 3, 4]);
+    group.advance(20_000, &[2, 3, 4]);
     group.reconcile_voters(&[1, 2, 3, 4, 9], &[2, 3, 4]);
     assert_eq!(group.voter_ids(), [1, 2, 3, 4, 5]);
 }
--- a/crates/consensus/tests/consensus/storage.rs
+++ b/crates/consensus/tests/consensus/storage.rs
@@ -1,4 +1,5 @@
-//! Storage on a real disk: torn tails are cut, damage is refused, nothing stored is lost silently.
+//! Storage on a real disk: a torn write at the end is discarded, and other damage is an error instead
+//! of a silent loss of stored entries.
 
 use lycheehub_consensus::storage::{Disk, Error, Storage};
 use lycheehub_consensus::{Entry, Payload, Persisted, Position, ReplicaId, Snapshot, Vote};
@@ -7,7 +8,7 @@
 
 fn folder(test: &str) -> PathBuf {
     let folder = Path::new(env!("CARGO_TARGET_TMPDIR")).join(test);
-    // The folder is there only after an earlier run.
+    // The folder exists only after an earlier run.
     let _ = fs::remove_dir_all(&folder);
     folder
 }
@@ -17,7 +18,7 @@
     Entry { position: Position { term: 1, index }, payload }
 }
 
-fn filled(folder: &Path) -> (ReplicaId, Persisted) {
+fn store_sample(folder: &Path) -> (ReplicaId, Persisted) {
     let mut disk = Disk::open(folder).expect("opens");
     let (id, _) = disk.load().expect("loads");
     let vote = Vote { term: 3, voted_for: Some(ReplicaId(7)) };
@@ -40,16 +41,16 @@
 }
 
 #[test]
-fn all_that_was_stored_is_loaded_again() {
+fn stored_state_is_loaded() {
     let folder = folder("storage_loaded");
-    let stored = filled(&folder);
+    let stored = store_sample(&folder);
     assert_eq!(load(&folder).expect("loads"), stored);
 }
 
 #[test]
-fn an_append_replaces_what_it_overlaps() {
+fn an_append_replaces_overlapping_entries() {
     let folder = folder("storage_overlap");
-    filled(&folder);
+    store_sample(&folder);
     let mut disk = Disk::open(&folder).expect("opens");
     disk.load().expect("loads");
     let replaced = Entry { position: Position { term: 2, index: 4 }, payload: Payload::Noop };
@@ -59,13 +60,13 @@
 }
 
 #[test]
-fn a_torn_tail_is_cut_at_every_length() {
+fn a_torn_tail_of_any_length_is_discarded() {
     let folder = folder("storage_torn");
-    let (_, stored) = filled(&folder);
+    let (_, stored) = store_sample(&folder);
     let log = folder.join("log");
-    let whole = fs::read(&log).expect("read");
-    for length in 0..whole.len() {
-        fs::write(&log, &whole[..length]).expect("written");
+    let original = fs::read(&log).expect("read");
+    for length in 0..original.len() {
+        fs::write(&log, &original[..length]).expect("written");
         let (_, persisted) = load(&folder).expect("a torn tail loads");
         let count = persisted.entries.len();
         assert_eq!(persisted.entries, stored.entries[..count]);
@@ -74,9 +75,9 @@
 }
 
 #[test]
-fn zeros_after_the_tail_are_cut() {
+fn zeros_after_the_last_record_are_discarded() {
     let folder = folder("storage_zeros");
-    let stored = filled(&folder);
+    let stored = store_sample(&folder);
     let log = folder.join("log");
     let mut bytes = fs::read(&log).expect("read");
     bytes.extend([0; 4096]);
@@ -85,9 +86,9 @@
 }
 
 #[test]
-fn a_last_write_of_which_any_part_is_missing_is_cut() {
+fn a_last_write_with_any_part_missing_is_discarded() {
     let folder = folder("storage_holes");
-    let (_, stored) = filled(&folder);
+    let (_, stored) = store_sample(&folder);
     let log = folder.join("log");
     let before = fs::read(&log).expect("read").len();
     let mut disk = Disk::open(&folder).expect("opens");
@@ -95,50 +96,50 @@
     let long = Payload::Command(vec![b'x'; 3_000]);
     let entries =
         [7, 8].map(|index| Entry { position: Position { term: 1, index }, payload: long.clone() });
-    // Both entries are one write: of its sectors, each may be there or not.
+    // Both entries are one write. After a crash any subset of its sectors may be missing.
     disk.append(&entries).expect("stored");
-    let whole = fs::read(&log).expect("read");
+    let original = fs::read(&log).expect("read");
     for missing in 0u32..64 {
-        let mut bytes = whole.clone();
-        for (sector, place) in (before..whole.len()).step_by(1_024).enumerate() {
+        let mut bytes = original.clone();
+        for (sector, place) in (before..original.len()).step_by(1_024).enumerate() {
             if missing >> sector & 1 == 1 {
-                let end = whole.len().min(place + 1_024);
+                let end = original.len().min(place + 1_024);
                 bytes[place..end].fill(0);
             }
         }
         fs::write(&log, &bytes).expect("written");
         let (_, persisted) = load(&folder).expect("an interrupted write loads");
         assert!(persisted.entries.starts_with(&stored.entries), "{missing:b}");
-        let whole = persisted.entries.len() == stored.entries.len() + entries.len();
-        assert!(whole || persisted.entries.len() == stored.entries.len(), "{missing:b}");
+        let is_complete = persisted.entries.len() == stored.entries.len() + entries.len();
+        assert!(is_complete || persisted.entries.len() == stored.entries.len(), "{missing:b}");
     }
 }
 
 #[test]
-fn a_flipped_byte_anywhere_is_refused() {
+fn a_flipped_bit_in_any_byte_is_an_error() {
     let folder = folder("storage_flipped");
-    filled(&folder);
-    let mut refused = 0;
+    store_sample(&folder);
+    let mut detected = 0;
     for file in ["identity", "vote", "snapshot", "log"] {
         let path = folder.join(file);
-        let whole = fs::read(&path).expect("read");
-        for at in 0..whole.len() {
-            let mut damaged = whole.clone();
+        let original = fs::read(&path).expect("read");
+        for at in 0..original.len() {
+            let mut damaged = original.clone();
             damaged[at] ^= 0x40;
             fs::write(&path, &damaged).expect("written");
             let found = load(&folder);
             assert!(matches!(found, Err(Error::Corrupt(..))), "{file} byte {at}: {found:?}");
-            refused += 1;
+            detected += 1;
         }
-        fs::write(&path, &whole).expect("written");
+        fs::write(&path, &original).expect("written");
     }
-    assert!(refused > 100);
+    assert!(detected > 100);
 }
 
 #[test]
-fn a_lost_folder_comes_back_with_another_identity() {
+fn a_recreated_folder_has_a_new_identity() {
     let folder = folder("storage_identity");
-    let (before, _) = filled(&folder);
+    let (before, _) = store_sample(&folder);
     fs::remove_dir_all(&folder).expect("removed");
     let (after, persisted) = load(&folder).expect("loads");
     assert_ne!(before, after);
--- a/crates/consensus/tests/consensus/world/checks.rs
+++ b/crates/consensus/tests/consensus/world/checks.rs
@@ -1,17 +1,18 @@
-//! What is checked after each step.
+//! The invariants that are checked after each step.
 
-use super::{Planted, SIZE, World};
+use super::{InjectedBug, SIZE, World};
 use lycheehub_consensus::{Entry, Payload};
 
 impl World {
-    pub(super) fn note_applied(&mut self, at: usize, entry: Entry) {
+    pub(super) fn record_applied(&mut self, at: usize, entry: Entry) {
         let index = entry.position.index;
         if let Payload::Command(command) = &entry.payload {
             self.nodes[at].applied.push((index, command.clone()));
         }
         match self.committed.get(&index) {
             Some(other) if *other != entry => {
-                self.violations.push(format!("index {index} was committed twice, differently"));
+                self.violations
+                    .push(format!("two different entries were committed at index {index}"));
             }
             Some(_) => {}
             None => {
@@ -23,17 +24,18 @@
     pub(super) fn check_read(&mut self, token: u64, index: u64) {
         let Some(before) = self.reads.remove(&token) else { return };
         if index < before {
-            self.violations
-                .push(format!("a read saw {index}, though {before} was committed before"));
+            self.violations.push(format!(
+                "a read returned index {index}, but {before} was committed before it started"
+            ));
         }
     }
 
     pub(super) fn check_leases(&mut self) {
         let holds = |at: &usize| {
             let local_ms = self.local_ms(*at);
-            let replica = self.nodes[*at].replica.as_ref().filter(|_| !self.nodes[*at].frozen);
-            replica.is_some_and(|replica| match self.planted {
-                Planted::LeaseIgnored => replica.is_established(),
+            let replica = self.nodes[*at].replica.as_ref().filter(|_| !self.nodes[*at].paused);
+            replica.is_some_and(|replica| match self.injected_bug {
+                InjectedBug::LeaseIgnored => replica.is_established(),
                 _ => replica.holds_lease(local_ms),
             })
         };
--- a/crates/consensus/tests/consensus/world/mod.rs
+++ b/crates/consensus/tests/consensus/world/mod.rs
@@ -1,13 +1,13 @@
-//! A few replicas with fake storage and a list of messages, moved on step by step.
+//! A simulation of a small group of replicas with in-memory storage and a list of messages in flight.
 //!
-//! After each step it is checked that no two replicas applied different entries at one index, no
-//! term has two leaders, no two replicas hold a lease at once, and no read misses what was
-//! committed before it began.
+//! After each step the simulation checks that no two replicas applied different entries at the same
+//! index, no term has two leaders, no two replicas hold a lease at the same time, and every read
+//! sees the entries that were committed before it started.
 
 mod checks;
 mod steps;
 
-pub use steps::{Planted, Step};
+pub use steps::{InjectedBug, Step};
 
 use lycheehub_consensus::{
     Action, Config, Entry, Message, Options, Payload, Persisted, Position, Replica, ReplicaId,
@@ -22,21 +22,21 @@
     stored: Persisted,
     replica: Option<Replica>,
     applied: Vec<(u64, Vec<u8>)>,
-    /// Thousandths by which this clock runs faster or slower.
+    /// The drift of this replica's clock, in thousandths.
     drift_permille: i64,
     crash_after: Option<u8>,
-    frozen: bool,
-    /// For how long it has been frozen, as far as its clock does not count that.
-    uncounted_ms: u64,
+    paused: bool,
+    /// The total pause time that this replica's clock did not count.
+    clock_lag_ms: u64,
 }
 
 pub struct World {
     nodes: Vec<Node>,
-    planted: Planted,
+    injected_bug: InjectedBug,
     options: Options,
     now_ms: u64,
-    under_way: Vec<(ReplicaId, ReplicaId, Message)>,
-    cuts: BTreeSet<(ReplicaId, ReplicaId)>,
+    in_flight: Vec<(ReplicaId, ReplicaId, Message)>,
+    blocked_links: BTreeSet<(ReplicaId, ReplicaId)>,
     committed: BTreeMap<u64, Entry>,
     leaders: BTreeMap<u64, ReplicaId>,
     reads: BTreeMap<u64, u64>,
@@ -47,21 +47,23 @@
 }
 
 const SIZE: usize = 3;
-const UNDER_WAY_MAX: usize = 200;
+const IN_FLIGHT_MAX: usize = 200;
 
 impl World {
-    /// Begins with leases in half of the worlds.
-    pub fn new(seed: u64, planted: Planted) -> Self {
+    /// Creates a world; leases are enabled for even seeds and for bugs that need them.
+    pub fn new(seed: u64, injected_bug: InjectedBug) -> Self {
         let needs_leases = matches!(
-            planted,
-            Planted::RestartVotesAtOnce | Planted::LeaseIgnored | Planted::FrozenClock
+            injected_bug,
+            InjectedBug::RestartVotesAtOnce
+                | InjectedBug::LeaseIgnored
+                | InjectedBug::ClockStopsWhilePaused
         );
         let leases = needs_leases || seed.is_multiple_of(2);
-        Self::with_options(seed, planted, Options { leases, ..Options::default() })
+        Self::with_options(seed, injected_bug, Options { leases, ..Options::default() })
     }
 
-    /// Begins with these options.
-    pub fn with_options(seed: u64, planted: Planted, options: Options) -> Self {
+    /// Creates a world with these options.
+    pub fn with_options(seed: u64, injected_bug: InjectedBug, options: Options) -> Self {
         let ids: Vec<ReplicaId> = (1..=SIZE as u64).map(ReplicaId).collect();
         let name = |id: &ReplicaId| InstanceName::new(format!("entry-{id}"));
         let config = Config { voters: ids.iter().map(|id| (*id, name(id))).collect() };
@@ -87,17 +89,17 @@
                 applied: Vec::new(),
                 drift_permille: drift(at),
                 crash_after: None,
-                frozen: false,
-                uncounted_ms: 0,
+                paused: false,
+                clock_lag_ms: 0,
             })
             .collect();
         let mut world = Self {
             nodes,
-            planted,
+            injected_bug,
             options,
             now_ms: 10_000,
-            under_way: Vec::new(),
-            cuts: BTreeSet::new(),
+            in_flight: Vec::new(),
+            blocked_links: BTreeSet::new(),
             committed: BTreeMap::new(),
             leaders: BTreeMap::new(),
             reads: BTreeMap::new(),
@@ -114,12 +116,12 @@
 
     fn local_ms(&self, at: usize) -> u64 {
         let rate = 1_000 + self.nodes[at].drift_permille;
-        ((self.now_ms - self.nodes[at].uncounted_ms) as i64 * rate / 1_000) as u64
+        ((self.now_ms - self.nodes[at].clock_lag_ms) as i64 * rate / 1_000) as u64
     }
 
     fn restart(&mut self, at: usize) {
         let mut local_ms = self.local_ms(at);
-        if self.planted == Planted::RestartVotesAtOnce {
+        if self.injected_bug == InjectedBug::RestartVotesAtOnce {
             local_ms -= self.options.election_min_ms;
         }
         let node = &mut self.nodes[at];
@@ -128,7 +130,7 @@
         }
         let seed = node.id.0 + self.now_ms;
         node.crash_after = None;
-        node.frozen = false;
+        node.paused = false;
         node.applied.clear();
         let data = &node.stored.snapshot.data;
         if !data.is_empty() {
@@ -140,23 +142,23 @@
 
     pub fn step(&mut self, step: Step) {
         match step {
-            Step::Pass(ms) => self.pass(u64::from(ms % 400) + 1),
-            Step::Run(ms) => {
-                const ROUND_MS: u64 = 40;
-                for _ in 0..u64::from(ms % 1_500) / ROUND_MS {
-                    self.pass(ROUND_MS);
+            Step::Advance(ms) => self.advance(u64::from(ms % 400) + 1),
+            Step::AdvanceDelivering(ms) => {
+                const STEP_MS: u64 = 40;
+                for _ in 0..u64::from(ms % 1_500) / STEP_MS {
+                    self.advance(STEP_MS);
                     self.deliver_all();
                 }
             }
             Step::Deliver(pick) => self.deliver(pick, false),
             Step::DeliverAll => self.deliver_all(),
-            Step::Lose(pick) => {
-                if !self.under_way.is_empty() {
-                    let at = usize::from(pick) % self.under_way.len();
-                    self.under_way.remove(at);
+            Step::Drop(pick) => {
+                if !self.in_flight.is_empty() {
+                    let at = usize::from(pick) % self.in_flight.len();
+                    self.in_flight.remove(at);
                 }
             }
-            Step::Repeat(pick) => self.deliver(pick, true),
+            Step::Duplicate(pick) => self.deliver(pick, true),
             Step::CrashAfter(node, count) => {
                 self.nodes[usize::from(node) % SIZE].crash_after = Some(count % 6);
             }
@@ -165,31 +167,31 @@
             Step::LoseDisk(node) => self.lose_disk(usize::from(node) % SIZE),
             Step::Propose(node) => self.propose(usize::from(node) % SIZE),
             Step::Read(node) => self.read(usize::from(node) % SIZE),
-            Step::Cut(from, to) => {
+            Step::BlockLink(from, to) => {
                 let pair = (
                     self.nodes[usize::from(from) % SIZE].id,
                     self.nodes[usize::from(to) % SIZE].id,
                 );
-                self.cuts.insert(pair);
+                self.blocked_links.insert(pair);
             }
-            Step::Part(a, b) => {
+            Step::Partition(a, b) => {
                 let ids = [a, b].map(|node| self.nodes[usize::from(node) % SIZE].id);
-                self.cuts.extend([(ids[0], ids[1]), (ids[1], ids[0])]);
+                self.blocked_links.extend([(ids[0], ids[1]), (ids[1], ids[0])]);
             }
             Step::Isolate(node) => {
                 let own = self.nodes[usize::from(node) % SIZE].id;
                 for other in self.nodes.iter().map(|node| node.id) {
-                    self.cuts.extend([(own, other), (other, own)]);
+                    self.blocked_links.extend([(own, other), (other, own)]);
                 }
             }
-            Step::Freeze(node) => self.nodes[usize::from(node) % SIZE].frozen = true,
-            Step::Thaw => self.nodes.iter_mut().for_each(|node| node.frozen = false),
-            Step::Bounce(node) => {
+            Step::Pause(node) => self.nodes[usize::from(node) % SIZE].paused = true,
+            Step::ResumeAll => self.nodes.iter_mut().for_each(|node| node.paused = false),
+            Step::CrashAndRestart(node) => {
                 let at = usize::from(node) % SIZE;
                 self.nodes[at].replica = None;
                 self.restart(at);
             }
-            Step::Heal => self.cuts.clear(),
+            Step::UnblockLinks => self.blocked_links.clear(),
             Step::Compact(node) => {
                 let at = usize::from(node) % SIZE;
                 let data = encode(&self.nodes[at].applied);
@@ -201,7 +203,7 @@
                     }
                 });
             }
-            Step::HandOver(node) => {
+            Step::TransferLeadership(node) => {
                 self.drive(usize::from(node) % SIZE, |replica, now_ms| {
                     replica.transfer_leadership(now_ms)
                 });
@@ -210,11 +212,11 @@
         self.check_leases();
     }
 
-    fn pass(&mut self, ms: u64) {
+    fn advance(&mut self, ms: u64) {
         self.now_ms += ms;
-        if self.planted == Planted::FrozenClock {
-            let frozen = self.nodes.iter_mut().filter(|node| node.frozen);
-            frozen.for_each(|node| node.uncounted_ms += ms);
+        if self.injected_bug == InjectedBug::ClockStopsWhilePaused {
+            let paused = self.nodes.iter_mut().filter(|node| node.paused);
+            paused.for_each(|node| node.clock_lag_ms += ms);
         }
         let live: BTreeMap<ReplicaId, InstanceName> = self
             .nodes
@@ -230,18 +232,18 @@
     }
 
     fn deliver(&mut self, pick: u16, keep: bool) {
-        if self.under_way.is_empty() {
+        if self.in_flight.is_empty() {
             return;
         }
-        let at = usize::from(pick) % self.under_way.len();
+        let at = usize::from(pick) % self.in_flight.len();
         let (from, to, message) =
-            if keep { self.under_way[at].clone() } else { self.under_way.remove(at) };
-        if self.cuts.contains(&(from, to)) {
+            if keep { self.in_flight[at].clone() } else { self.in_flight.remove(at) };
+        if self.blocked_links.contains(&(from, to)) {
             return;
         }
         if let Some(node) = self.nodes.iter().position(|node| node.id == to) {
-            if self.nodes[node].frozen {
-                return self.under_way.push((from, to, message));
+            if self.nodes[node].paused {
+                return self.in_flight.push((from, to, message));
             }
             self.drive(node, |replica, now_ms| replica.receive(now_ms, from, message));
         }
@@ -250,33 +252,33 @@
     fn deliver_all(&mut self) {
         const ROUNDS: usize = 4;
         for _ in 0..ROUNDS {
-            for _ in 0..self.under_way.len() {
+            for _ in 0..self.in_flight.len() {
                 self.deliver(0, false);
             }
         }
     }
 
-    /// A disk is lost only once the last lost one is made up for: all replicas run, and hold a
-    /// configuration of just these replicas.
+    /// Wipes a replica's disk, unless the group has yet to recover from the last loss: all replicas
+    /// must run, and each must have a configuration of exactly the current replicas.
     fn lose_disk(&mut self, at: usize) {
         let ids: BTreeSet<ReplicaId> = self.nodes.iter().map(|node| node.id).collect();
-        let whole = self.nodes.iter().all(|node| {
+        let is_recovered = self.nodes.iter().all(|node| {
             let newest = node.replica.as_ref().map(|replica| replica.config().clone());
             newest
                 .is_none_or(|config| config.voters.keys().copied().collect::<BTreeSet<_>>() == ids)
         });
         let all_run = self.nodes.iter().all(|node| node.replica.is_some());
-        if !whole || !all_run {
+        if !is_recovered || !all_run {
             return;
         }
-        let planted = self.planted;
+        let injected_bug = self.injected_bug;
         let next_id = self.next_id;
         self.next_id += 1;
         let node = &mut self.nodes[at];
         node.replica = None;
         node.stored = Persisted::default();
         node.applied.clear();
-        if planted != Planted::LostDiskVotes {
+        if injected_bug != InjectedBug::LostDiskVotes {
             node.id = ReplicaId(next_id);
         }
     }
@@ -292,7 +294,7 @@
         let token = self.next_read;
         let committed = self.committed.keys().next_back().copied().unwrap_or(0);
         self.reads.insert(token, committed);
-        if self.planted == Planted::ReadWithoutQuorum {
+        if self.injected_bug == InjectedBug::ReadWithoutQuorum {
             let replica = self.nodes[at].replica.as_ref();
             if let Some(replica) = replica.filter(|replica| replica.role() == Role::Leader) {
                 let index = replica.commit();
@@ -305,12 +307,12 @@
 
     fn drive(&mut self, at: usize, step: impl FnOnce(&mut Replica, u64) -> Vec<Action>) {
         let local_ms = self.local_ms(at);
-        if self.nodes[at].frozen {
+        if self.nodes[at].paused {
             return;
         }
         let Some(replica) = self.nodes[at].replica.as_mut() else { return };
         let mut actions = step(replica, local_ms);
-        if self.planted == Planted::AckBeforeStore {
+        if self.injected_bug == InjectedBug::AckBeforeStore {
             actions.sort_by_key(|action| !matches!(action, Action::Send { .. }));
         }
         let crash_after = self.nodes[at].crash_after;
@@ -319,15 +321,15 @@
                 self.nodes[at].replica = None;
                 return;
             }
-            self.carry_out(at, action);
+            self.execute(at, action);
         }
     }
 
-    fn carry_out(&mut self, at: usize, action: Action) {
+    fn execute(&mut self, at: usize, action: Action) {
         let node = &mut self.nodes[at];
         match action {
             Action::SaveVote(vote) => {
-                if self.planted != Planted::VoteNotStored {
+                if self.injected_bug != InjectedBug::VoteNotStored {
                     node.stored.vote = vote;
                 }
             }
@@ -343,12 +345,12 @@
             }
             Action::Send { to, message } => {
                 let from = node.id;
-                if self.under_way.len() < UNDER_WAY_MAX {
-                    self.under_way.push((from, to, message));
+                if self.in_flight.len() < IN_FLIGHT_MAX {
+                    self.in_flight.push((from, to, message));
                 }
             }
             Action::Restore(snapshot) => node.applied = decode(&snapshot.data),
-            Action::Apply(entry) => self.note_applied(at, entry),
+            Action::Apply(entry) => self.record_applied(at, entry),
             Action::ReadReady { token, index } => self.check_read(token, index),
             Action::ReadFailed { token } => {
                 self.reads.remove(&token);
@@ -364,51 +366,52 @@
         }
     }
 
-    /// Ends all faults and lets the replicas run; tells whether a command is then committed.
-    pub fn settles(&mut self) -> bool {
+    /// Ends all faults and lets the replicas run. Returns true if a new command is then committed and
+    /// all replicas have applied the same commands.
+    pub fn converges(&mut self) -> bool {
         const ROUNDS: usize = 400;
-        self.cuts.clear();
+        self.blocked_links.clear();
         for at in 0..SIZE {
             self.nodes[at].crash_after = None;
-            self.nodes[at].frozen = false;
+            self.nodes[at].paused = false;
             self.restart(at);
         }
         let before = self.next_command;
         for round in 0..ROUNDS {
-            self.pass(50);
+            self.advance(50);
             self.deliver_all();
             if round > ROUNDS / 2 && round % 20 == 0 {
                 (0..SIZE).for_each(|at| self.propose(at));
             }
         }
-        let done = self.committed.values().any(|entry| match &entry.payload {
+        let is_committed = self.committed.values().any(|entry| match &entry.payload {
             Payload::Command(command) => {
                 command.clone().try_into().map_or(0, u64::from_le_bytes) > before
             }
             _ => false,
         });
-        let same = self.nodes.windows(2).all(|pair| pair[0].applied == pair[1].applied);
-        done && same
+        let all_equal = self.nodes.windows(2).all(|pair| pair[0].applied == pair[1].applied);
+        is_committed && all_equal
     }
 
-    /// Crashes all replicas and starts them again; returns after how many milliseconds one leads
-    /// that knows all that was committed.
-    pub fn leads_after_restart_ms(&mut self) -> u64 {
+    /// Crashes and restarts all replicas; returns the time until one is an established leader, in
+    /// milliseconds.
+    pub fn time_to_leader_after_restart_ms(&mut self) -> u64 {
         const STEP_MS: u64 = 10;
         self.nodes.iter_mut().for_each(|node| node.replica = None);
-        self.under_way.clear();
+        self.in_flight.clear();
         (0..SIZE).for_each(|at| self.restart(at));
-        let began_ms = self.now_ms;
-        let leads = |node: &Node| node.replica.as_ref().is_some_and(Replica::is_established);
-        while !self.nodes.iter().any(leads) {
-            self.pass(STEP_MS);
+        let started_ms = self.now_ms;
+        let is_leader = |node: &Node| node.replica.as_ref().is_some_and(Replica::is_established);
+        while !self.nodes.iter().any(is_leader) {
+            self.advance(STEP_MS);
             self.deliver_all();
         }
-        self.now_ms - began_ms
+        self.now_ms - started_ms
     }
 
-    /// Returns how many commands were committed.
-    pub fn committed(&self) -> usize {
+    /// Returns the number of committed entries.
+    pub fn committed_entries(&self) -> usize {
         self.committed.len()
     }
 }
--- a/crates/consensus/tests/consensus/world/steps.rs
+++ b/crates/consensus/tests/consensus/world/steps.rs
@@ -1,68 +1,69 @@
-//! The steps of a schedule, and the faults that are planted.
+//! The steps of a schedule, and the bugs that a test can inject.
 
-/// A fault that is built in on purpose, to show that the checks catch it.
+/// A bug that is injected on purpose, to show that the checks detect it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Planted {
+pub enum InjectedBug {
     None,
     /// The vote is not stored.
     VoteNotStored,
     /// Entries are acknowledged before they are stored.
     AckBeforeStore,
-    /// A replica that lost its disk keeps its identity and so its vote.
+    /// A replica that lost its disk keeps its identity, so it is still a voter.
     LostDiskVotes,
-    /// A restarted replica votes at once, though it may have promised a leader not to.
+    /// A restarted replica votes at once, although a leader's lease may rely on its earlier reply.
     RestartVotesAtOnce,
-    /// A leader acts without looking at its lease.
+    /// A leader acts without checking its lease.
     LeaseIgnored,
-    /// A read is answered without asking a quorum.
+    /// A read is served without confirmation by a quorum.
     ReadWithoutQuorum,
-    /// The clock does not count the time for which a process is frozen.
-    FrozenClock,
+    /// The clock stands still while its process is paused.
+    ClockStopsWhilePaused,
 }
 
 /// A step of a schedule.
 #[derive(Clone, Copy, Debug)]
 pub enum Step {
-    /// Time passes and all replicas tick.
-    Pass(u16),
-    /// Time passes while messages are delivered soon.
-    Run(u16),
+    /// Time advances and all replicas tick.
+    Advance(u16),
+    /// Time advances in short steps, after each of which all messages are delivered.
+    AdvanceDelivering(u16),
     /// A message is delivered.
     Deliver(u16),
-    /// All messages under way are delivered, with the answers to them.
+    /// All messages in flight are delivered, and their replies.
     DeliverAll,
-    /// A message is lost.
-    Lose(u16),
-    /// A message is delivered and stays under way.
-    Repeat(u16),
-    /// The next step of a replica is cut short by a crash after this many actions.
+    /// A message is dropped.
+    Drop(u16),
+    /// A message is delivered and stays in flight, so it can be delivered again.
+    Duplicate(u16),
+    /// A replica crashes as soon as one of its steps returns more than this many actions; only the
+    /// first ones are executed.
     CrashAfter(u8, u8),
     /// A replica crashes.
     Crash(u8),
-    /// A crashed replica starts again.
+    /// A crashed replica restarts.
     Restart(u8),
     /// A replica loses its disk.
     LoseDisk(u8),
-    /// An operator's command comes in.
+    /// A command is proposed on a replica.
     Propose(u8),
-    /// A read comes in.
+    /// A read is started on a replica.
     Read(u8),
-    /// Messages from one replica to another are cut off.
-    Cut(u8, u8),
-    /// Two replicas are cut off from each other.
-    Part(u8, u8),
-    /// A replica is cut off from all others.
+    /// Messages from one replica to another are blocked.
+    BlockLink(u8, u8),
+    /// Two replicas are partitioned from each other.
+    Partition(u8, u8),
+    /// A replica is partitioned from all others.
     Isolate(u8),
-    /// A process is frozen.
-    Freeze(u8),
-    /// All frozen processes go on.
-    Thaw,
-    /// A replica crashes and starts again at once.
-    Bounce(u8),
-    /// All cuts end.
-    Heal,
-    /// The applied log is compacted.
+    /// A process is paused.
+    Pause(u8),
+    /// All paused processes resume.
+    ResumeAll,
+    /// A replica crashes and restarts at once.
+    CrashAndRestart(u8),
+    /// All blocked links are unblocked.
+    UnblockLinks,
+    /// A replica compacts the applied part of its log.
     Compact(u8),
-    /// The leader hands over.
-    HandOver(u8),
+    /// A replica transfers leadership if it leads.
+    TransferLeadership(u8),
 }
