--- a/crates/consensus/tests/consensus/schedules.rs
+++ b/crates/consensus/tests/consensus/schedules.rs
@@ -79,7 +79,7 @@
 }
 
 #[test]
-fn committed_entries_survive_fault_schedules_entries() {
+fn committed_entries_survive_fault_schedules() {
     run(InjectedBug::None, schedules(), true).unwrap_or_else(|error| panic!("{error}"));
 }
 
