--- a/crates/clock/src/lib.rs
+++ b/crates/clock/src/lib.rs
@@ -1,4 +1,4 @@
-//! The clock, and the timer service that parts subscribe to.
+//! The process clock, and a timer service that sends periodic ticks to its subscribers.
 #![deny(missing_docs, rust_2018_idioms)]
 #![forbid(unsafe_code)]
 
@@ -9,19 +9,20 @@
 use std::sync::{Mutex, PoisonError};
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
-/// The longest sleep of the timer service without looking for new subscribers, in milliseconds.
-const LOOK_AGAIN_MS: u64 = 50;
+/// The maximum sleep of the timer service, in milliseconds, after which it checks for new
+/// subscribers.
+const MAX_SLEEP_MS: u64 = 50;
 
-/// Reads the time since the machine was started, times of suspension included.
+/// Returns the time since the machine booted, including the time it was suspended.
 fn since_boot() -> Duration {
     let time = clock_gettime(ClockId::Boottime);
     Duration::new(time.tv_sec.unsigned_abs(), u32::try_from(time.tv_nsec).unwrap_or_default())
 }
 
-/// A clock that never goes back and goes on while the machine is suspended, counted from the start
-/// of the process.
+/// A monotonic clock that starts with the process and also counts the time while the machine is
+/// suspended.
 ///
-/// Leases are promises about time outside this machine, so they may not stand still with it.
+/// Other machines rely on the expiry of leases, so a lease must also run out during a suspension.
 ///
 /// # Examples
 /// ```
@@ -46,7 +47,7 @@
         Self::with_source(since_boot)
     }
 
-    /// Starts a clock that reads its time from `read`, which must never go back.
+    /// Starts a clock that reads its time from `read`, which must be monotonic.
     ///
     /// # Examples
     /// ```
@@ -63,24 +64,24 @@
         (self.read)().saturating_sub(self.started)
     }
 
-    /// Returns the milliseconds since the clock was started, from 1.
+    /// Returns the milliseconds since the clock was started, counted from 1.
     pub fn now_ms(&self) -> u64 {
         self.elapsed().as_millis() as u64 + 1
     }
 
-    /// Returns the milliseconds since the clock was started, with their fraction.
-    pub fn now_fine_ms(&self) -> f64 {
+    /// Returns the milliseconds since the clock was started, counted from 0, with their fraction.
+    pub fn now_ms_f64(&self) -> f64 {
         self.elapsed().as_secs_f64() * 1e3
     }
 
-    /// Returns the time of day in milliseconds since the Unix epoch, by the system's clock.
+    /// Returns the milliseconds since the Unix epoch by the system clock.
     pub fn now_unix_ms(&self) -> u64 {
         let since = SystemTime::now().duration_since(UNIX_EPOCH);
         since.map_or(0, |since| since.as_millis() as u64)
     }
 }
 
-/// Bounds a piece of work in time; nothing where it is not done in time.
+/// Runs a future with a timeout; returns `None` if it does not complete in time.
 ///
 /// # Examples
 /// ```
@@ -96,10 +97,10 @@
     smol::future::or(done, late).await
 }
 
-/// Gives parts their ticks.
+/// A source of periodic ticks.
 pub trait Timers: Send + Sync {
-    /// Returns a channel that gets a message each `period_ms` milliseconds; a tick that is not
-    /// taken before the next one is dropped.
+    /// Returns a channel that receives a tick every `period_ms` milliseconds. A tick is dropped if the
+    /// previous one has not been received yet.
     fn subscribe(&self, period_ms: u64) -> Receiver<()>;
 }
 
@@ -110,7 +111,7 @@
     sender: Sender<()>,
 }
 
-/// A timer service on one task.
+/// A timer service that sends the ticks of all subscribers from one task.
 ///
 /// # Examples
 /// ```
@@ -129,29 +130,29 @@
 }
 
 impl TimerService {
-    /// Makes a service that works by `clock`.
+    /// Creates a service that uses `clock`.
     pub fn new(clock: Clock) -> Self {
         Self { clock, subscribers: Mutex::new(Vec::new()) }
     }
 
-    /// Sends ticks until it is dropped.
+    /// Sends ticks until the future is dropped.
     pub async fn run(&self) {
         loop {
-            let wait_ms = self.fire();
+            let wait_ms = self.send_due_ticks();
             Timer::after(Duration::from_millis(wait_ms)).await;
         }
     }
 
-    /// Sends the ticks that are due; returns the time to the next one, in milliseconds.
-    fn fire(&self) -> u64 {
+    /// Sends the ticks that are due; returns the time until the next call, in milliseconds.
+    fn send_due_ticks(&self) -> u64 {
         let now_ms = self.clock.now_ms();
         let mut subscribers = self.subscribers.lock().unwrap_or_else(PoisonError::into_inner);
         subscribers.retain(|subscriber| !subscriber.sender.is_closed());
-        let mut next_ms = now_ms + LOOK_AGAIN_MS;
+        let mut next_ms = now_ms + MAX_SLEEP_MS;
         for subscriber in subscribers.iter_mut() {
             if subscriber.due_ms <= now_ms {
-                let missed = subscriber.sender.try_send(()).is_err();
-                let base_ms = if missed { now_ms } else { subscriber.due_ms };
+                let is_dropped = subscriber.sender.try_send(()).is_err();
+                let base_ms = if is_dropped { now_ms } else { subscriber.due_ms };
                 subscriber.due_ms = (base_ms + subscriber.period_ms).max(now_ms + 1);
             }
             next_ms = next_ms.min(subscriber.due_ms);
--- a/crates/clock/tests/clock/main.rs
+++ b/crates/clock/tests/clock/main.rs
@@ -5,22 +5,22 @@
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::time::{Duration, Instant};
 
-/// What the stand-in for the machine's clock shows, in milliseconds.
-static MACHINE_MS: AtomicU64 = AtomicU64::new(1_000);
+/// The time of the simulated boot-time clock, in milliseconds.
+static BOOT_TIME_MS: AtomicU64 = AtomicU64::new(1_000);
 
-fn machine_time() -> Duration {
-    Duration::from_millis(MACHINE_MS.load(Ordering::Relaxed))
+fn boot_time() -> Duration {
+    Duration::from_millis(BOOT_TIME_MS.load(Ordering::Relaxed))
 }
 
 #[gtest]
-fn time_in_suspension_counts() {
-    let clock = Clock::with_source(machine_time);
-    let steady = Instant::now();
+fn time_during_suspension_counts() {
+    let clock = Clock::with_source(boot_time);
+    let instant = Instant::now();
     let before_ms = clock.now_ms();
 
-    // The machine is suspended: its steady clock stands still, the other one goes on.
-    MACHINE_MS.fetch_add(5_000, Ordering::Relaxed);
+    // Simulates a suspension of 5 s: `Instant` does not count it, the boot-time clock does.
+    BOOT_TIME_MS.fetch_add(5_000, Ordering::Relaxed);
 
     expect_that!(clock.now_ms() - before_ms, eq(5_000));
-    expect_that!(steady.elapsed().as_millis(), lt(5_000));
+    expect_that!(instant.elapsed().as_millis(), lt(5_000));
 }
--- a/crates/gateway/src/serve/relay.rs
+++ b/crates/gateway/src/serve/relay.rs
@@ -82,7 +82,7 @@
         }
         let batch = events.push(&buffer[..count]);
         if batch.tokens > 0 {
-            progress.last_ms = gateway.clock.now_fine_ms();
+            progress.last_ms = gateway.clock.now_ms_f64();
             progress.first_ms.get_or_insert(progress.last_ms);
             progress.tokens += batch.tokens;
         }
--- a/crates/gateway/src/serve/run.rs
+++ b/crates/gateway/src/serve/run.rs
@@ -62,11 +62,11 @@
             _ => return End::Failed(unfinished("no endpoint could finish the request")),
         };
         log_dispatch(exchange, payload, &assignment);
-        let begun_ms = gateway.clock.now_fine_ms();
+        let begun_ms = gateway.clock.now_ms_f64();
         let attempt = attempt(gateway, exchange, payload, answer, &assignment, &mut progress).await;
         let (error, ran_to) = match attempt {
             Ok(()) => {
-                return End::Answered(outcome(begun_ms, gateway.clock.now_fine_ms(), &progress));
+                return End::Answered(outcome(begun_ms, gateway.clock.now_ms_f64(), &progress));
             }
             Err(Failure::NotRun(error)) => (error, None),
             Err(Failure::Unknown(error)) => {
--- a/crates/types/src/endpoint.rs
+++ b/crates/types/src/endpoint.rs
@@ -1,4 +1,4 @@
-//! What endpoints say of themselves.
+//! The records that endpoints announce.
 
 use crate::{EndpointName, FailureDomain, ServiceName, Version};
 use serde::{Deserialize, Serialize};
@@ -14,55 +14,56 @@
     Plain,
 }
 
-/// Load as an endpoint reports it, with a lag.
+/// The load that an endpoint reports, which lags behind its current load.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EndpointLoad {
-    /// Requests that run.
+    /// The number of running requests.
     pub running: u32,
-    /// Requests that wait inside the endpoint.
+    /// The number of requests queued inside the endpoint.
     pub waiting: u32,
 }
 
-/// An endpoint's announcement, as it is passed between instances.
+/// An endpoint's announcement, as exchanged between instances.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EndpointRecord {
     /// The endpoint's name.
     pub endpoint: EndpointName,
     /// Where the endpoint listens, as `address:port`.
     pub address: SmolStr,
-    /// The service it serves.
+    /// The service that the endpoint serves.
     pub service: ServiceName,
-    /// The version of the service that it has loaded.
+    /// The version of the service that the endpoint has loaded.
     pub version: Version,
-    /// Whether it is a model engine or a plain service.
+    /// Whether the endpoint is a model engine or a plain service.
     pub kind: EndpointKind,
     /// The hardware generation.
     #[serde(default)]
     pub hardware: SmolStr,
-    /// Where it runs.
+    /// The failure domain in which the endpoint runs.
     pub failure_domain: FailureDomain,
-    /// How many requests it may run at once.
+    /// The maximum number of concurrent requests.
     pub slots: u32,
-    /// Whether it refuses orders that carry an old fencing number.
+    /// Whether the endpoint rejects orders with an outdated fencing token.
     #[serde(default)]
     pub fencing: bool,
-    /// Whether it takes orders to load versions.
+    /// Whether the endpoint accepts orders to load versions.
     #[serde(default)]
     pub takes_orders: bool,
-    /// Grows with each start of the endpoint.
+    /// Increases with each start of the endpoint.
     pub incarnation: u64,
-    /// Grows with each announcement of one incarnation.
+    /// Increases with each announcement of an incarnation.
     pub sequence: u64,
-    /// The endpoint takes no new work.
+    /// Whether the endpoint is shutting down and accepts no new requests.
     #[serde(default)]
     pub leaving: bool,
-    /// Load as last seen by the endpoint.
+    /// The load last reported by the endpoint.
     #[serde(default)]
     pub load: EndpointLoad,
 }
 
 impl EndpointRecord {
-    /// Returns the number pair by which of two records the newer one is known.
+    /// Returns the incarnation and sequence, by which records of one endpoint are ordered; the newest
+    /// record compares as the greatest.
     pub fn freshness(&self) -> (u64, u64) {
         (self.incarnation, self.sequence)
     }
--- a/crates/types/src/error.rs
+++ b/crates/types/src/error.rs
@@ -1,4 +1,4 @@
-//! The error that names the step and the peer at which it arose.
+//! An error that names the failed step and the peer.
 
 use quick_error::quick_error;
 use smol_str::SmolStr;
@@ -7,11 +7,11 @@
     /// A failed exchange with a peer, an endpoint or a file.
     #[derive(Clone, Debug, PartialEq, Eq)]
     pub enum PeerError {
-        /// The step failed.
+        /// The step failed with an error.
         Failed(step: &'static str, peer: SmolStr, message: SmolStr) {
             display("{} at {}: {}", step, peer, message)
         }
-        /// The step did not finish in time.
+        /// The step did not complete within its timeout.
         TimedOut(step: &'static str, peer: SmolStr, after_ms: u64) {
             display("{} at {}: no answer within {} ms", step, peer, after_ms)
         }
@@ -19,7 +19,7 @@
 }
 
 impl PeerError {
-    /// Makes an error of `step` at `peer` from any cause.
+    /// Creates an error for a failed `step` at `peer` from any cause.
     pub fn failed(step: &'static str, peer: impl Into<SmolStr>, cause: impl ToString) -> Self {
         Self::Failed(step, peer.into(), cause.to_string().into())
     }
--- a/crates/types/src/instance.rs
+++ b/crates/types/src/instance.rs
@@ -1,11 +1,11 @@
-//! What instances say of themselves.
+//! The records that instances announce.
 
 use crate::{FailureDomain, InstanceName, ServiceName, Tier};
 use serde::{Deserialize, Serialize};
 use smol_str::SmolStr;
 use std::collections::BTreeMap;
 
-/// An instance's own record, as it is passed between instances.
+/// An instance's announcement, as exchanged between instances.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct InstanceRecord {
     /// The instance's name.
@@ -14,24 +14,25 @@
     pub peer_address: SmolStr,
     /// Where the instance listens for HTTP, as `address:port`.
     pub http_address: SmolStr,
-    /// Where it runs.
+    /// The failure domain in which the instance runs.
     pub failure_domain: FailureDomain,
-    /// Grows with each start of the instance.
+    /// Increases with each start of the instance.
     pub incarnation: u64,
-    /// Grows with each heartbeat of one incarnation.
+    /// Increases with each heartbeat of an incarnation.
     pub sequence: u64,
-    /// The identity of its control replica, 0 without one.
+    /// The identity of the instance's control replica, 0 if it has none.
     pub replica_id: u64,
-    /// The highest revision of the configuration that the instance has in force.
+    /// The highest configuration revision that is in force on the instance.
     pub revision_in_force: u64,
-    /// The instance is shutting down.
+    /// Whether the instance is shutting down.
     pub stopping: bool,
-    /// The lowest tier admitted, for each service that is shed.
+    /// The lowest admitted tier of each service that sheds load.
     pub shed_floor: BTreeMap<ServiceName, Tier>,
 }
 
 impl InstanceRecord {
-    /// Returns the number pair by which of two records the newer one is known.
+    /// Returns the incarnation and sequence, by which records of one instance are ordered; the newest
+    /// record compares as the greatest.
     pub fn freshness(&self) -> (u64, u64) {
         (self.incarnation, self.sequence)
     }
--- a/crates/types/src/lib.rs
+++ b/crates/types/src/lib.rs
@@ -1,10 +1,10 @@
 //! Names, units, tiers, refusals and errors shared by every lycheehub crate.
 //!
-//! * [`name`] holds the text identifiers.
-//! * [`tier`] holds the request tiers.
-//! * [`refusal`] holds what a caller is told when it gets no answer.
-//! * [`error`] holds the error that names the step and the peer.
-//! * [`endpoint`] and [`instance`] hold what announces itself.
+//! * [`name`] defines the text identifiers.
+//! * [`tier`] defines the request tiers.
+//! * [`refusal`] defines the errors that are returned to callers.
+//! * [`error`] defines an error that names the failed step and the peer.
+//! * [`endpoint`] and [`instance`] define the records that endpoints and instances announce.
 #![deny(missing_docs, rust_2018_idioms)]
 #![forbid(unsafe_code)]
 
--- a/crates/types/src/name.rs
+++ b/crates/types/src/name.rs
@@ -1,4 +1,4 @@
-//! Text identifiers, one type for each kind of thing that is named.
+//! Text identifiers, with a type for each kind of object.
 
 use serde::{Deserialize, Serialize};
 use smol_str::SmolStr;
@@ -12,7 +12,7 @@
         pub struct $name(SmolStr);
 
         impl $name {
-            /// Wraps `text` without checking it.
+            /// Wraps `text` without validating it.
             pub fn new(text: impl Into<SmolStr>) -> Self {
                 Self(text.into())
             }
@@ -46,13 +46,13 @@
 names! {
     /// A client account, as named in the operators' document.
     AccountName;
-    /// An endpoint, as it names itself in its announcements.
+    /// An endpoint, as named in its announcements.
     EndpointName;
     /// A failure domain, as named in settings and announcements.
     FailureDomain;
     /// An instance, as named in its settings.
     InstanceName;
-    /// The path of a request below its service, the unit by which versions are compared.
+    /// The path of a request below its service. Versions are compared route by route.
     Route;
     /// A section of the operators' document.
     SectionName;
@@ -62,10 +62,10 @@
     Version;
 }
 
-/// The longest identifier accepted from outside, in bytes.
+/// The maximum length of an identifier received from outside the process, in bytes.
 pub const NAME_MAX_BYTES: usize = 64;
 
-/// Tells whether `text` may serve as an identifier.
+/// Returns true if `text` is a valid identifier.
 ///
 /// # Examples
 /// ```
--- a/crates/types/src/refusal.rs
+++ b/crates/types/src/refusal.rs
@@ -1,56 +1,56 @@
-//! What a caller is told when it gets no answer.
+//! The errors that are returned to callers.
 
 use quick_error::quick_error;
 use serde::{Deserialize, Serialize};
 use smol_str::SmolStr;
 use std::fmt;
 
-/// The reason of a refusal, with a stable code for callers.
+/// The kind of a refusal, with a stable code for callers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum RefusalKind {
-    /// The request could not be understood.
+    /// The request is malformed or invalid.
     BadRequest,
-    /// The key belongs to no client account.
+    /// The API key belongs to no client account.
     Unauthorized,
-    /// The request's body is longer than the settings allow.
+    /// The request body exceeds the limit in the settings.
     TooLarge,
-    /// No section names the service.
+    /// The service is in no section of the operators' document.
     UnknownService,
-    /// No path or resource of this name exists.
+    /// The path or resource does not exist.
     NotFound,
-    /// Lower tiers are shed because capacity runs short.
+    /// The request was shed because capacity is short; lower tiers are shed first.
     Overloaded,
-    /// The answer could not be ready by the request's deadline.
+    /// The request could not complete by its deadline.
     DeadlineUnreachable,
-    /// No endpoint of the service holds a live lease.
+    /// No endpoint of the service has a valid lease.
     NoEndpoint,
     /// The instance is shutting down.
     Stopping,
-    /// The idempotency key could not be claimed, since no quorum answered.
+    /// The idempotency key could not be claimed, since no quorum replied.
     ClaimUnavailable,
-    /// The idempotency key was used for another request.
+    /// The idempotency key was already used for a different request.
     KeyReused,
-    /// A request under this idempotency key ran; its answer is no longer kept.
+    /// A request with this idempotency key has run, but its response is no longer stored.
     AlreadyRun,
     /// The request may or may not have run.
     OutcomeUnknown,
-    /// The endpoint answered that it failed.
+    /// The endpoint reported a failure.
     EndpointFailed,
     /// A submission was based on a revision that is no longer current.
     Conflict,
-    /// No quorum of control replicas answered; nothing was changed.
+    /// No quorum of control replicas replied; nothing was changed.
     NoQuorum,
-    /// The instance does not know yet what is in force.
+    /// The instance has not yet learned the configuration in force.
     NotReady,
     /// The client account has used up its quota.
     QuotaExceeded,
-    /// No answer came within the request's time; the request may have run.
+    /// No response arrived before the request's timeout; the request may have run.
     TimedOut,
 }
 
 impl RefusalKind {
-    /// Returns the stable code by which callers know the refusal.
+    /// Returns the stable code that identifies the kind to callers.
     pub fn code(self) -> &'static str {
         match self {
             Self::BadRequest => "bad_request",
@@ -75,7 +75,7 @@
         }
     }
 
-    /// Returns the HTTP status that goes with the refusal.
+    /// Returns the HTTP status of the refusal.
     pub fn http_status(self) -> u16 {
         match self {
             Self::BadRequest => 400,
@@ -95,7 +95,7 @@
         }
     }
 
-    /// Tells whether the refused request is known not to have run.
+    /// Returns true if the refused request is known not to have run.
     pub fn not_run(self) -> bool {
         !matches!(
             self,
@@ -111,7 +111,7 @@
 }
 
 quick_error! {
-    /// The final answer to a request that gets no other.
+    /// The error that is returned to the caller instead of a response.
     #[derive(Clone, Debug, PartialEq, Eq)]
     pub enum Refusal {
         /// The request was refused.
@@ -122,29 +122,29 @@
 }
 
 impl Refusal {
-    /// Makes a refusal that waiting does not help.
+    /// Creates a refusal without a retry delay.
     pub fn new(kind: RefusalKind, message: impl Into<SmolStr>) -> Self {
         Self::Refused(kind, message.into(), None)
     }
 
-    /// Makes a refusal after which the caller may come back in `retry_after_ms` milliseconds.
+    /// Creates a refusal that asks the caller to retry after `retry_after_ms` milliseconds.
     pub fn retry(kind: RefusalKind, message: impl Into<SmolStr>, retry_after_ms: u64) -> Self {
         Self::Refused(kind, message.into(), Some(retry_after_ms))
     }
 
-    /// Returns the reason.
+    /// Returns the kind of the refusal.
     pub fn kind(&self) -> RefusalKind {
         let Self::Refused(kind, ..) = self;
         *kind
     }
 
-    /// Returns the text for the caller.
+    /// Returns the message for the caller.
     pub fn message(&self) -> &str {
         let Self::Refused(_, message, _) = self;
         message
     }
 
-    /// Returns after how many milliseconds the caller may come back.
+    /// Returns the delay before the caller may retry, in milliseconds.
     pub fn retry_after_ms(&self) -> Option<u64> {
         let Self::Refused(_, _, retry_after_ms) = self;
         *retry_after_ms
--- a/crates/types/src/tier.rs
+++ b/crates/types/src/tier.rs
@@ -3,9 +3,9 @@
 use serde::{Deserialize, Serialize};
 use std::fmt;
 
-/// The importance of a request; rank 0 is the highest tier.
+/// The priority of a request; rank 0 is the highest tier.
 ///
-/// Ordering follows importance: a higher tier compares as greater.
+/// Tiers are ordered by priority: a higher tier compares as greater.
 ///
 /// # Examples
 /// ```
@@ -24,7 +24,7 @@
     /// The lowest tier.
     pub const LOWEST: Self = Self(Self::COUNT - 1);
 
-    /// Returns the tier of `rank`; ranks past the lowest tier count as the lowest.
+    /// Returns the tier of `rank`; ranks beyond the lowest tier map to the lowest tier.
     pub fn new(rank: u8) -> Self {
         Self(rank.min(Self::COUNT - 1))
     }
