--- a/crates/dispatch/src/dispatcher/choose.rs
+++ b/crates/dispatch/src/dispatcher/choose.rs
@@ -1,118 +1,121 @@
-//! Chooses endpoints for what waits.
+//! Chooses the endpoints for queued jobs.
 //!
-//! Load pattern: endpoints five to one in speed, prompts a hundred to one in length. A prompt that
-//! is read delays the events of all streams beside it, longest on the slowest endpoint. So the
-//! endpoint is chosen by when its first event is expected, after the prompts that were placed there
-//! before.
+//! Load pattern: endpoints differ up to 5:1 in speed and prompts up to 100:1 in length. Prefilling
+//! a prompt delays the events of all other streams on the same endpoint, most on the slowest one.
+//! The choice therefore minimizes the expected time to the first event, which includes the prompts
+//! already placed on the endpoint.
 //!
-//! Load pattern: answers a hundred to one in length. A long one on a slow endpoint takes a slot for
-//! as long as its caller waits, and ends unfinished. So it goes where it is likely to end in time,
-//! or waits for a slot there.
+//! Load pattern: responses differ up to 100:1 in length. A long response on a slow endpoint holds a
+//! slot until its caller gives up and is never finished. Such a job goes to an endpoint that is
+//! likely to finish it before the deadline, or waits for a slot there.
 //!
-//! Load pattern: half of the endpoints lose some of their answers, the others none. Those that cannot be
-//! sent elsewhere after a failure go to the others as long as these have room. Requests that fail
-//! anywhere say nothing: what counts is how much more an endpoint fails than the better ones do. Where
-//! these are full for the moment, such a request waits for one as long as it can be on time.
+//! Load pattern: half of the endpoints lose some of their responses, the others none. Jobs that
+//! cannot be retried after a failure go to the reliable endpoints while these have free slots; if
+//! these are full, the jobs wait for one as long as they can still meet their objective. Failures
+//! that occur on every endpoint carry no information, so an endpoint is judged by its excess over
+//! the failure share of the better endpoints.
 //!
-//! Load pattern: many that wait for the fastest endpoints, while others have free slots. They are
-//! passed over for those behind them. The first ones are weighed again at each event, so that a slot
-//! that they wait for is theirs; the others a moment later.
+//! Load pattern: many jobs wait for the fastest endpoints while other endpoints have free slots.
+//! These jobs are skipped so that the jobs behind them can be placed. The first few are evaluated
+//! again at every event, so that they get the next free slot of a fast endpoint; the others are
+//! evaluated again only after a short delay.
 
-use super::{Dispatcher, Placed};
+use super::{Dispatcher, PlacedJob};
 use crate::endpoints::{Endpoint, EndpointKey};
 use crate::job::{Decision, Job};
-use crate::queue::Waiting;
+use crate::queue::QueuedJob;
 use lycheehub_types::ServiceName;
 
-/// How many jobs at the head of the queue are weighed at each event.
-const FIRST_COUNT: usize = 8;
-/// How many jobs that no free endpoint suits are weighed in all at an event: one takes as long as a
-/// look at each endpoint.
-const WEIGHED_MAX: usize = 9;
-/// How many are passed over in all: taking one from the queue and back takes time at each event.
-const PASSED_OVER_MAX: usize = 24;
-/// After how long a job that no free endpoint suited is weighed again, in milliseconds: some slots
-/// are free again by then.
-const WEIGH_AGAIN_MS: u64 = 20;
-/// What an endpoint that fails all requests costs, in milliseconds of waiting: a request that can
-/// move begins anew elsewhere.
-const FAILURE_MS: f64 = 2_000.0;
-/// The same for a request that cannot: its caller gets nothing.
-const FINAL_FAILURE_MS: f64 = 8_000.0;
-/// What an endpoint that has not answered since it failed costs, in milliseconds of waiting.
-const PROBATION_MS: f64 = 300.0;
-/// How long it takes until a slot of a full endpoint is free, in milliseconds.
+/// The number of jobs at the head of the queue that are evaluated at every event.
+const HEAD_COUNT: usize = 8;
+/// The maximum number of unplaceable jobs evaluated per event; each evaluation scans all endpoints
+/// of the service.
+const EVALUATIONS_MAX: usize = 9;
+/// The maximum number of jobs skipped per event; removing and reinserting a job has a cost.
+const SKIPPED_MAX: usize = 24;
+/// The delay before an unplaceable job beyond the head of the queue is evaluated again, in
+/// milliseconds; some slots become free in that time.
+const REEVALUATE_MS: u64 = 20;
+/// The cost of an endpoint that fails every request, in milliseconds of waiting, for a job that can
+/// be retried elsewhere from the beginning.
+const FAILURE_COST_MS: f64 = 2_000.0;
+/// The same cost for a job that cannot be retried: its caller gets no response.
+const FINAL_FAILURE_COST_MS: f64 = 8_000.0;
+/// The cost of an endpoint that is on probation after a failure, in milliseconds of waiting.
+const PROBATION_COST_MS: f64 = 300.0;
+/// The expected time until a full endpoint frees a slot, in milliseconds.
 const SLOT_WAIT_MS: f64 = 60.0;
-/// What an answer costs that is not finished in its time, in milliseconds of waiting: some of the
-/// slot's time that it takes from others.
-const OVERRUN_MS: f64 = 3_000.0;
-/// From which chance on of not being finished in time a job waits for a faster endpoint.
-const OVERRUN_MAX: f64 = 0.5;
-/// Below which chance an endpoint is worth waiting for.
-const OVERRUN_LITTLE: f64 = 0.2;
-/// What part of the chance at a free endpoint another one must have at most, where that is not little.
-const OVERRUN_PART: f64 = 0.5;
-/// How much further an endpoint may fail than the better ones of its service, as a share of
-/// requests: the last few answers tell no more.
+/// The cost of a response that is not finished by its deadline, in milliseconds of waiting: part of
+/// the slot time that it takes from other jobs.
+const OVERRUN_COST_MS: f64 = 3_000.0;
+/// The overrun probability above which a job waits for a faster endpoint.
+const OVERRUN_LIMIT: f64 = 0.5;
+/// An overrun probability below which an endpoint is always worth waiting for.
+const OVERRUN_LOW: f64 = 0.2;
+/// Above [`OVERRUN_LOW`], the overrun probability of an endpoint worth waiting for is at most this
+/// fraction of that of the free endpoint.
+const OVERRUN_RATIO: f64 = 0.5;
+/// The excess over the baseline failure share that carries no cost; the failure share is an average
+/// over too few responses to be more precise.
 const FAILURE_TOLERANCE: f64 = 0.05;
-/// How much further than usual an endpoint fails where a request that cannot move waits for a better
-/// one, as a share of requests.
-const FAILING_MUCH: f64 = 0.15;
+/// The excess over the baseline failure share above which a job that cannot be retried waits for a
+/// more reliable endpoint.
+const HIGH_FAILURE_EXCESS: f64 = 0.15;
 
 impl Dispatcher {
-    /// Places what waits for a service while an endpoint takes it.
-    pub(super) fn fill(&mut self, now_ms: u64, name: &ServiceName) {
+    /// Places queued jobs of a service while its endpoints accept them.
+    pub(super) fn place_queued(&mut self, now_ms: u64, name: &ServiceName) {
         let slots = self.slots_of(name);
-        let mut passed_over = Vec::new();
-        let mut weighed = 0;
-        while weighed < WEIGHED_MAX
-            && passed_over.len() < PASSED_OVER_MAX
+        let mut skipped = Vec::new();
+        let mut evaluated = 0;
+        while evaluated < EVALUATIONS_MAX
+            && skipped.len() < SKIPPED_MAX
             && self.has_room(now_ms, name)
         {
             let service = self.services.get_mut(name);
             let popped = service.and_then(|service| service.queue.pop(now_ms, slots));
-            let Some(mut waiting) = popped else { break };
-            let is_first = passed_over.len() < FIRST_COUNT;
-            let just_now = |at_ms| now_ms < at_ms + WEIGH_AGAIN_MS;
-            if !is_first && waiting.weighed_ms.is_some_and(just_now) {
-                passed_over.push(waiting);
+            let Some(mut queued) = popped else { break };
+            let is_at_head = skipped.len() < HEAD_COUNT;
+            let is_recent = |at_ms| now_ms < at_ms + REEVALUATE_MS;
+            if !is_at_head && queued.evaluated_ms.is_some_and(is_recent) {
+                skipped.push(queued);
                 continue;
             }
-            match self.choose(now_ms, name, &waiting.job) {
-                Some(key) if !self.waits_for_better(now_ms, key, &waiting) => {
-                    self.place(now_ms, key, waiting);
+            match self.choose(now_ms, name, &queued.job) {
+                Some(key) if !self.waits_for_better(now_ms, key, &queued) => {
+                    self.place(now_ms, key, queued);
                 }
                 _ => {
-                    waiting.weighed_ms = Some(now_ms);
-                    weighed += 1;
-                    passed_over.push(waiting);
+                    queued.evaluated_ms = Some(now_ms);
+                    evaluated += 1;
+                    skipped.push(queued);
                 }
             }
         }
         let Some(service) = self.services.get_mut(name) else { return };
-        for waiting in passed_over {
-            service.queue.push(now_ms, waiting);
+        for queued in skipped {
+            service.queue.push(now_ms, queued);
         }
     }
 
-    /// Tells whether a job that is too late at a free endpoint, or likely to be lost there, would be
-    /// better off at another one that is full at the moment.
-    fn waits_for_better(&self, now_ms: u64, key: EndpointKey, waiting: &Waiting) -> bool {
-        let job = &waiting.job;
+    /// Returns whether a job that would miss its objective, overrun its deadline or probably fail
+    /// on the free endpoint `key` should wait for a better endpoint that is currently full.
+    fn waits_for_better(&self, now_ms: u64, key: EndpointKey, queued: &QueuedJob) -> bool {
+        let job = &queued.job;
         let Some(service) = self.services.get(&job.service) else { return false };
         let events = service.events_of(job.output_tokens);
-        let left_ms = waiting.objective_ms.saturating_sub(now_ms) as f64;
-        let ends_ms = waiting.deadline_ms.saturating_sub(now_ms);
+        let left_ms = queued.objective_ms.saturating_sub(now_ms) as f64;
+        let ends_ms = queued.deadline_ms.saturating_sub(now_ms);
         let endpoint = &self.endpoints[key];
         let first_byte_ms = endpoint.first_byte_ms(now_ms, job);
         let is_late = left_ms > SLOT_WAIT_MS && first_byte_ms > left_ms;
         let overrun = endpoint.overrun_chance(first_byte_ms, events, ends_ms);
-        let overruns = overrun > OVERRUN_MAX;
-        let little = OVERRUN_LITTLE.max(overrun * OVERRUN_PART);
-        let fails_much = |endpoint: &Endpoint| {
-            endpoint.health.failure_share() > service.usual_failures + FAILING_MUCH
+        let overruns = overrun > OVERRUN_LIMIT;
+        let acceptable = OVERRUN_LOW.max(overrun * OVERRUN_RATIO);
+        let fails_often = |endpoint: &Endpoint| {
+            endpoint.health.failure_share() > service.baseline_failures + HIGH_FAILURE_EXCESS
         };
-        let fails = job.is_final && fails_much(endpoint);
+        let fails = job.is_last_attempt && fails_often(endpoint);
         if !is_late && !overruns && !fails {
             return false;
         }
@@ -123,10 +126,10 @@
             }
             let first_byte_ms = other.first_byte_ms(now_ms, job);
             let is_on_time = first_byte_ms + SLOT_WAIT_MS <= left_ms;
-            let ends = || other.overrun_chance(first_byte_ms, events, ends_ms) < little;
+            let ends = || other.overrun_chance(first_byte_ms, events, ends_ms) < acceptable;
             (!is_late || is_on_time)
                 && (!overruns || ends())
-                && (!fails || is_on_time && !fails_much(other))
+                && (!fails || is_on_time && !fails_often(other))
         })
     }
 
@@ -140,64 +143,67 @@
 
     fn choose(&self, now_ms: u64, name: &ServiceName, job: &Job) -> Option<EndpointKey> {
         let service = self.services.get(name)?;
-        let tolerated = service.usual_failures + FAILURE_TOLERANCE;
+        let tolerated_failures = service.baseline_failures + FAILURE_TOLERANCE;
         let events = service.events_of(job.output_tokens);
-        let best = |suits: &dyn Fn(&Endpoint) -> bool| {
+        let best = |is_candidate: &dyn Fn(&Endpoint) -> bool| {
             let usable = service.endpoints.iter().copied().filter(|key| {
                 let endpoint = &self.endpoints[*key];
-                endpoint.takes(now_ms, job)
-                    && !self.is_barred(now_ms, job.ticket.instance, endpoint.name())
-                    && suits(endpoint)
+                endpoint.accepts(now_ms, job)
+                    && !self.is_excluded(now_ms, job.job_id.instance, endpoint.name())
+                    && is_candidate(endpoint)
             });
             usable.min_by(|a, b| {
-                let cost = |key: &EndpointKey| self.cost_ms(now_ms, *key, job, events, tolerated);
+                let cost =
+                    |key: &EndpointKey| self.cost_ms(now_ms, *key, job, events, tolerated_failures);
                 cost(a).total_cmp(&cost(b))
             })
         };
-        let Some(division) = &service.division else { return best(&|_| true) };
+        let Some(version_routing) = &service.version_routing else { return best(&|_| true) };
         let endpoints = service.endpoints.iter().map(|key| &self.endpoints[*key]);
-        let side = division.next_side(endpoints);
-        best(&|endpoint| division.suits(side, endpoint))
-            .or_else(|| best(&|endpoint| division.suits_instead(side, endpoint)))
+        let group = version_routing.next_group(endpoints);
+        best(&|endpoint| version_routing.accepts(group, endpoint))
+            .or_else(|| best(&|endpoint| version_routing.accepts_as_fallback(group, endpoint)))
     }
 
-    /// Returns what it costs to place `job` at an endpoint, in milliseconds of waiting.
+    /// Returns the cost of placing `job` on an endpoint, in milliseconds of waiting.
     fn cost_ms(
         &self,
         now_ms: u64,
         key: EndpointKey,
         job: &Job,
         events: f64,
-        tolerated: f64,
+        tolerated_failures: f64,
     ) -> f64 {
         let endpoint = &self.endpoints[key];
-        let foreign = endpoint.record.failure_domain != job.failure_domain;
-        let foreign_ms = if foreign { self.options.foreign_domain_ms } else { 0.0 };
-        let failure_ms = if job.is_final { FINAL_FAILURE_MS } else { FAILURE_MS };
-        let failure_ms = (endpoint.health.failure_share() - tolerated).max(0.0) * failure_ms;
-        let doubt_ms = if endpoint.health.is_on_probation(now_ms) { PROBATION_MS } else { 0.0 };
+        let is_cross_domain = endpoint.record.failure_domain != job.failure_domain;
+        let cross_domain_ms = if is_cross_domain { self.options.cross_domain_cost_ms } else { 0.0 };
+        let failure_ms = if job.is_last_attempt { FINAL_FAILURE_COST_MS } else { FAILURE_COST_MS };
+        let failure_ms =
+            (endpoint.health.failure_share() - tolerated_failures).max(0.0) * failure_ms;
+        let probation_ms =
+            if endpoint.health.is_on_probation(now_ms) { PROBATION_COST_MS } else { 0.0 };
         let load = endpoint.running.len() as f64 / f64::from(endpoint.record.slots.max(1));
         let first_byte_ms = endpoint.first_byte_ms(now_ms, job);
         let overrun = endpoint.overrun_chance(first_byte_ms, events, job.deadline_left_ms);
-        let overrun_ms = overrun * OVERRUN_MS;
-        first_byte_ms + foreign_ms + failure_ms + doubt_ms + overrun_ms + load
+        let overrun_ms = overrun * OVERRUN_COST_MS;
+        first_byte_ms + cross_domain_ms + failure_ms + probation_ms + overrun_ms + load
     }
 
-    fn place(&mut self, now_ms: u64, key: EndpointKey, waiting: Waiting) {
-        let job = waiting.job;
-        self.waiting.remove(&job.ticket);
+    fn place(&mut self, now_ms: u64, key: EndpointKey, queued: QueuedJob) {
+        let job = queued.job;
+        self.waiting.remove(&job.job_id);
         if let Some(service) = self.services.get_mut(&job.service) {
-            service.note_version_placed(&self.endpoints[key].record.version);
+            service.record_version_placed(&self.endpoints[key].record.version);
         }
         let endpoint = &mut self.endpoints[key];
         let first_byte_ms = endpoint.begin(now_ms, &job) as u64;
         self.decisions.push(Decision::Place {
-            ticket: job.ticket,
+            job_id: job.job_id,
             endpoint: endpoint.name().clone(),
             address: endpoint.record.address.clone(),
             first_byte_ms,
         });
         let is_stream = job.output_tokens > 0;
-        self.placed.insert(job.ticket, Placed { endpoint: key, is_stream, rank: job.rank });
+        self.placed.insert(job.job_id, PlacedJob { endpoint: key, is_stream, rank: job.rank });
     }
 }
--- a/crates/dispatch/src/dispatcher/refuse.rs
+++ b/crates/dispatch/src/dispatcher/refuse.rs
@@ -1,74 +1,81 @@
-//! Refuses what cannot be done in time.
+//! Refuses jobs that cannot finish in time.
 //!
-//! Load pattern: a burst of several seconds above capacity. What can no longer be on time is refused
-//! as soon as that is certain, unless the backlog is short, so that its caller knows at once when to
-//! come back and takes no slot from one that can be on time. Callers are told to come back spread
-//! over some seconds, after the time in which bursts end. One that has come back is kept for a moment,
-//! though it is late. While a tier is shed, nothing of a lower one is admitted.
+//! Load pattern: a burst exceeds the capacity for several seconds. A job that can no longer meet
+//! its objective is refused as soon as that is certain, unless the backlog is short: its caller
+//! learns at once when to retry, and the job takes no slot from one that can still meet its
+//! objective. Retries are spread over some seconds after the usual end of a burst. A job whose
+//! caller has already retried is kept for a moment although it is late. While a tier is shed, no
+//! job of a lower tier is admitted.
 //!
-//! Load pattern: answers a hundred to one in length, endpoints five to one in speed. An answer that
-//! only the fastest endpoints can end in time waits for one of them; where many wait, for whom those
-//! endpoints are as good, it is refused.
+//! Load pattern: responses differ up to 100:1 in length and endpoints 5:1 in speed. A response that
+//! only the fastest endpoints can finish in time waits for one of them. If the backlog is long,
+//! other jobs need those endpoints as well and the job is refused.
 
 use super::{Dispatcher, Service};
-use crate::job::{Decision, Job, Reason, Ticket};
-use crate::queue::Waiting;
+use crate::job::{Decision, Job, JobId, Reason};
+use crate::queue::QueuedJob;
 use lycheehub_types::ServiceName;
 
-/// The shortest time after which a refused caller is told to come back, in milliseconds.
+/// The minimum retry delay sent with a refusal, in milliseconds.
 const RETRY_AFTER_MIN_MS: u64 = 150;
-/// The longest time after which a caller that is refused in an overload is told to come back, in
-/// milliseconds: bursts are over by then.
+/// The maximum retry delay sent with an overload refusal, in milliseconds; bursts have ended by
+/// then.
 const RETRY_AFTER_MAX_MS: u64 = 5_000;
-/// The part of its time left after which a caller comes back at the latest: callers do not wait for
-/// longer than a third of it.
+/// The maximum retry delay as a fraction of the time left to the deadline: callers wait for at most
+/// a third of it.
 const RETRY_AFTER_SHARE: f64 = 0.32;
-/// Over how long callers that are refused in an overload come back, in milliseconds: as long as
-/// the shorter bursts last.
+/// The interval over which retries after an overload are spread, in milliseconds; the shorter
+/// bursts last as long.
 const RETURN_SPREAD_MS: u64 = 2_500;
-/// How much backlog there may be for what is late to be kept, in milliseconds.
+/// The backlog up to which late jobs are kept, in milliseconds.
 const SHORT_BACKLOG_MS: u64 = 300;
-/// How long nothing of a lower tier is admitted after a higher one was shed, in milliseconds.
-const FLOOR_MS: u64 = 250;
+/// How long lower tiers are not admitted after a higher tier was shed, in milliseconds.
+const TIER_FLOOR_MS: u64 = 250;
 
 impl Service {
-    /// Takes what can no longer be on time and is not kept all the same.
-    fn take_expired(&mut self, now_ms: u64, many_wait: bool) -> Vec<Waiting> {
+    /// Removes the jobs that can no longer meet their objective, except those that are kept
+    /// although they are late.
+    fn take_expired(&mut self, now_ms: u64, many_wait: bool) -> Vec<QueuedJob> {
         let is_kept =
-            |waiting: &Waiting| !many_wait || waiting.job.returning || waiting.job.goes_on;
+            |queued: &QueuedJob| !many_wait || queued.job.returning || queued.job.resumes_stream;
         let expired = self.queue.take_expired(now_ms);
         let (kept, shed): (Vec<_>, Vec<_>) = expired.into_iter().partition(is_kept);
-        for waiting in kept {
-            self.queue.push(now_ms, waiting);
+        for queued in kept {
+            self.queue.push(now_ms, queued);
         }
         shed
     }
 
-    /// Tells whether so many slots are needed for long by all that waits.
+    /// Returns whether the queued jobs need the given number of slots for longer than a short
+    /// backlog.
     fn many_wait(&self, slots: usize) -> bool {
         self.queue.needed_ms() / slots.max(1) as u64 > SHORT_BACKLOG_MS
     }
 }
 
 impl Dispatcher {
-    /// Returns why a new job is refused at once, if it is, with when there will be room.
-    pub(super) fn overload_of(&mut self, now_ms: u64, waiting: &Waiting) -> Option<u64> {
-        let job = &waiting.job;
+    /// Returns the retry delay if a new job is refused at once because of overload.
+    pub(super) fn overload_retry_after_ms(
+        &mut self,
+        now_ms: u64,
+        queued: &QueuedJob,
+    ) -> Option<u64> {
+        let job = &queued.job;
         let queue_max = self.options.queue_max;
-        let hopeless = self.is_hopeless(now_ms, waiting);
+        let hopeless = self.is_infeasible(now_ms, queued);
         let service = self.services.get_mut(&job.service)?;
-        service.floor = service.floor.filter(|(_, until_ms)| now_ms < *until_ms);
-        let below_floor = service.floor.is_some_and(|(tier, _)| job.tier > tier);
+        service.tier_floor = service.tier_floor.filter(|(_, until_ms)| now_ms < *until_ms);
+        let is_below_floor = service.tier_floor.is_some_and(|(tier, _)| job.tier > tier);
         let full = service.queue.len() >= queue_max;
-        (below_floor || full || hopeless).then(|| return_after_ms(waiting))
+        (is_below_floor || full || hopeless).then(|| spread_retry_after_ms(queued))
     }
 
-    /// Tells whether a new job cannot be done in time behind those that wait.
-    fn is_hopeless(&self, now_ms: u64, waiting: &Waiting) -> bool {
-        let name = &waiting.job.service;
+    /// Returns whether a new job cannot finish in time behind the queued jobs.
+    fn is_infeasible(&self, now_ms: u64, queued: &QueuedJob) -> bool {
+        let name = &queued.job.service;
         self.services.get(name).is_some_and(|service| {
             !service.queue.is_empty()
-                && waiting.is_hopeless(now_ms, service.many_wait(self.slots_of(name)))
+                && queued.is_infeasible(now_ms, service.many_wait(self.slots_of(name)))
         })
     }
 
@@ -76,59 +83,60 @@
         let Some(service) = self.services.get(name) else { return 0 };
         let endpoints = service.endpoints.iter().map(|key| &self.endpoints[*key]);
         let usable = endpoints.filter(|endpoint| !endpoint.is_leaving());
-        usable.map(|endpoint| endpoint.own_slots).sum()
+        usable.map(|endpoint| endpoint.slot_limit).sum()
     }
 
-    /// Refuses what can no longer be done in time.
+    /// Refuses the jobs of a service that can no longer finish in time.
     pub(super) fn shed(&mut self, now_ms: u64, name: &ServiceName) {
         let slots = self.slots_of(name);
-        let awaits_endpoints = slots == 0 && self.learns(now_ms);
+        let may_discover_endpoints = slots == 0 && self.is_discovering(now_ms);
         let Some(service) = self.services.get_mut(name) else { return };
         let many_wait = service.many_wait(slots);
-        let mut shed = service.queue.take_if(|waiting| waiting.is_hopeless(now_ms, many_wait));
-        if !awaits_endpoints {
+        let mut shed = service.queue.take_if(|queued| queued.is_infeasible(now_ms, many_wait));
+        if !may_discover_endpoints {
             shed.extend(service.queue.take_overdue(now_ms));
             shed.extend(service.take_expired(now_ms, many_wait));
         }
-        // One that came without the time that it needs says nothing of the load.
-        let overloads = shed.iter().filter(|waiting| waiting.had_time());
-        if let Some(highest) = overloads.map(|waiting| waiting.job.tier).min() {
-            let tier = service.floor.map_or(highest, |(tier, _)| tier.min(highest));
-            service.floor = Some((tier, now_ms + FLOOR_MS));
+        // A job that arrived with too little time is no sign of overload.
+        let overloads = shed.iter().filter(|queued| queued.was_feasible());
+        if let Some(highest) = overloads.map(|queued| queued.job.tier).min() {
+            let tier = service.tier_floor.map_or(highest, |(tier, _)| tier.min(highest));
+            service.tier_floor = Some((tier, now_ms + TIER_FLOOR_MS));
         }
-        for waiting in shed {
-            self.waiting.remove(&waiting.job.ticket);
+        for queued in shed {
+            self.waiting.remove(&queued.job.job_id);
             let reason = if slots == 0 { Reason::NoEndpoint } else { Reason::Overloaded };
-            let after_ms = return_after_ms(&waiting).max(self.paused_ms(now_ms, &waiting.job));
-            self.refuse_waiting(waiting, reason, after_ms);
+            let after_ms =
+                spread_retry_after_ms(&queued).max(self.all_paused_ms(now_ms, &queued.job));
+            self.refuse_queued(queued, reason, after_ms);
         }
     }
 
-    pub(super) fn refuse_waiting(&mut self, waiting: Waiting, reason: Reason, retry_after_ms: u64) {
-        self.give_back(waiting.since_ms, &waiting.job, waiting.units);
-        self.refuse(waiting.job.ticket, reason, retry_after_ms);
+    pub(super) fn refuse_queued(&mut self, queued: QueuedJob, reason: Reason, retry_after_ms: u64) {
+        self.refund(queued.since_ms, &queued.job, queued.units);
+        self.refuse(queued.job.job_id, reason, retry_after_ms);
     }
 
-    pub(super) fn refuse(&mut self, ticket: Ticket, reason: Reason, retry_after_ms: u64) {
+    pub(super) fn refuse(&mut self, job_id: JobId, reason: Reason, retry_after_ms: u64) {
         let retry_after_ms = retry_after_ms.max(RETRY_AFTER_MIN_MS);
-        self.decisions.push(Decision::Refuse { ticket, reason, retry_after_ms });
+        self.decisions.push(Decision::Refuse { job_id, reason, retry_after_ms });
     }
 
-    /// Gives back what a request took of its account's quota when it came, at `since_ms`.
-    pub(super) fn give_back(&mut self, since_ms: u64, job: &Job, units: f64) {
+    /// Refunds the units that a job was charged when it arrived at `since_ms`.
+    pub(super) fn refund(&mut self, since_ms: u64, job: &Job, units: f64) {
         if let Some(account) = job.account.as_ref().filter(|_| units > 0.0) {
-            self.quotas.give_back(since_ms, job.ticket.instance, account, units);
+            self.quotas.refund(since_ms, job.job_id.instance, account, units);
         }
     }
 }
 
-/// Returns after how long the caller of a job is told to come back, in milliseconds: as late as it
-/// is ready to, less a part that differs from job to job.
-fn return_after_ms(waiting: &Waiting) -> u64 {
-    let latest_ms = (waiting.job.deadline_left_ms as f64 * RETRY_AFTER_SHARE) as u64;
+/// Returns the retry delay for the caller of a job, in milliseconds: the longest delay that the
+/// caller accepts, minus a pseudo-random part that spreads the retries.
+fn spread_retry_after_ms(queued: &QueuedJob) -> u64 {
+    let latest_ms = (queued.job.deadline_left_ms as f64 * RETRY_AFTER_SHARE) as u64;
     let spread_ms = RETURN_SPREAD_MS.min(latest_ms / 2);
-    let ticket = waiting.job.ticket;
+    let job_id = queued.job.job_id;
     let drawn =
-        (ticket.number.wrapping_mul(0x9E37_79B9_7F4A_7C15) >> 40) + u64::from(ticket.instance);
+        (job_id.number.wrapping_mul(0x9E37_79B9_7F4A_7C15) >> 40) + u64::from(job_id.instance);
     (latest_ms - drawn % spread_ms.max(1)).min(RETRY_AFTER_MAX_MS)
 }
--- a/crates/dispatch/src/dispatcher/versions.rs
+++ b/crates/dispatch/src/dispatcher/versions.rs
@@ -6,91 +6,101 @@
 use lycheehub_types::{ServiceName, Version};
 use std::collections::BTreeMap;
 
-/// How many samples are kept until they are taken; a dispatcher that compares nothing takes none.
+/// The maximum number of samples kept until they are taken; a dispatcher that compares no versions
+/// never takes them.
 const SAMPLES_MAX: usize = 4_096;
 
-/// Which versions of a service get requests.
+/// Which versions of a service receive requests.
 #[derive(Clone, Debug, PartialEq)]
 pub struct VersionRule {
-    /// How requests are divided.
+    /// How requests are divided between the versions.
     pub mode: VersionMode,
-    /// Versions that get none.
+    /// The versions that receive no requests.
     pub barred: Vec<Version>,
 }
 
 /// How requests are divided between versions.
 #[derive(Clone, Debug, PartialEq)]
 pub enum VersionMode {
-    /// All versions are alike.
+    /// All versions are treated alike.
     Any,
-    /// A share of requests goes to the new version, the others to all others.
+    /// A share of the requests goes to the target version, the rest to the other versions.
     Split {
-        /// The new version.
+        /// The target version.
         target: Version,
-        /// The share, from 0 to 1.
+        /// The share of the target version, from 0 to 1.
         share: f64,
     },
-    /// Only the new version, and endpoints that were started later.
+    /// Only the target version and endpoints started after a given time receive requests.
     Only {
-        /// The new version.
+        /// The target version.
         target: Version,
-        /// From when on endpoints count as started later, in milliseconds since the Unix epoch.
+        /// The start time from which endpoints of any version are used, in milliseconds since the
+        /// Unix epoch.
         since_unix_ms: u64,
     },
 }
 
-/// How a request ended at a version, for its comparison with another.
+/// The result of one request, used to compare versions.
 #[derive(Clone, Debug, PartialEq)]
 pub struct VersionSample {
-    /// The service.
+    /// The service of the endpoint.
     pub service: ServiceName,
     /// The version of the endpoint.
     pub version: Version,
-    /// The rank of the request's route.
+    /// The rank of the request.
     pub rank: u8,
-    /// How long an event of the answer took on average, or the whole answer where it is no stream,
-    /// in milliseconds; nothing where the endpoint failed.
+    /// The mean time per event of a stream, or the time of the whole response otherwise, in
+    /// milliseconds; `None` if the endpoint failed.
     pub pace_ms: Option<f64>,
 }
 
-/// A rule with how it was kept so far.
+/// A version rule with the number of requests placed under it.
 #[derive(Clone, Debug)]
-pub(super) struct Division {
+pub(super) struct VersionRouting {
     rule: VersionRule,
     placed: u64,
     placed_new: u64,
 }
 
-/// The versions that the next request is meant for.
+/// The group of versions that the next request is intended for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum Side {
+pub(super) enum VersionGroup {
     New,
     Old,
 }
 
-impl Division {
-    /// Returns the side that the next request is meant for; the only one there is, if need be.
-    pub(super) fn next_side<'a>(&self, endpoints: impl Iterator<Item = &'a Endpoint>) -> Side {
-        let VersionMode::Split { target, share } = &self.rule.mode else { return Side::New };
+impl VersionRouting {
+    /// Returns the group that the next request is intended for; `New` if no endpoint of the old
+    /// group is live.
+    pub(super) fn next_group<'a>(
+        &self,
+        endpoints: impl Iterator<Item = &'a Endpoint>,
+    ) -> VersionGroup {
+        let VersionMode::Split { target, share } = &self.rule.mode else {
+            return VersionGroup::New;
+        };
         let wants_new = (self.placed_new + 1) as f64 <= (self.placed + 1) as f64 * share;
         let mut live = endpoints.filter(|endpoint| !endpoint.is_leaving());
         if wants_new || !live.any(|endpoint| self.is_old(endpoint, target)) {
-            return Side::New;
+            return VersionGroup::New;
         }
-        Side::Old
+        VersionGroup::Old
     }
 
-    /// Tells whether an endpoint may get a request that is meant for `side`.
-    pub(super) fn suits(&self, side: Side, endpoint: &Endpoint) -> bool {
+    /// Returns whether an endpoint may receive a request intended for `group`.
+    pub(super) fn accepts(&self, group: VersionGroup, endpoint: &Endpoint) -> bool {
         let record = &endpoint.record;
-        let is_meant = match &self.rule.mode {
+        let matches_version = match &self.rule.mode {
             VersionMode::Any => true,
-            VersionMode::Split { target, .. } => (record.version == *target) == (side == Side::New),
+            VersionMode::Split { target, .. } => {
+                (record.version == *target) == (group == VersionGroup::New)
+            }
             VersionMode::Only { target, since_unix_ms } => {
                 record.version == *target || record.incarnation >= *since_unix_ms
             }
         };
-        is_meant && !self.rule.barred.contains(&record.version)
+        matches_version && !self.rule.barred.contains(&record.version)
     }
 
     fn is_old(&self, endpoint: &Endpoint, target: &Version) -> bool {
@@ -98,11 +108,12 @@
         version != target && !self.rule.barred.contains(version)
     }
 
-    /// Tells whether it may get it where no endpoint of that side takes it: a new version that has
-    /// no room leaves requests to the others, but gets none of theirs.
-    pub(super) fn suits_instead(&self, side: Side, endpoint: &Endpoint) -> bool {
+    /// Returns whether an endpoint may receive a request intended for `group` when no endpoint of
+    /// that group accepts it. Requests for a full target version fall back to the old versions, but
+    /// not the other way round.
+    pub(super) fn accepts_as_fallback(&self, group: VersionGroup, endpoint: &Endpoint) -> bool {
         let VersionMode::Split { target, .. } = &self.rule.mode else { return false };
-        side == Side::New && self.is_old(endpoint, target)
+        group == VersionGroup::New && self.is_old(endpoint, target)
     }
 
     fn note_placed(&mut self, version: &Version) {
@@ -113,48 +124,54 @@
 }
 
 impl Service {
-    pub(super) fn note_version_placed(&mut self, version: &Version) {
-        if let Some(division) = &mut self.division {
-            division.note_placed(version);
+    pub(super) fn record_version_placed(&mut self, version: &Version) {
+        if let Some(version_routing) = &mut self.version_routing {
+            version_routing.note_placed(version);
         }
     }
 
     fn is_compared(&self) -> bool {
-        let mode = self.division.as_ref().map(|division| &division.rule.mode);
+        let mode = self.version_routing.as_ref().map(|version_routing| &version_routing.rule.mode);
         matches!(mode, Some(VersionMode::Split { .. }))
     }
 }
 
 impl Dispatcher {
-    /// Takes the rules by which services are divided between versions; without one, all versions of
-    /// a service are alike.
+    /// Replaces the version rules; without a rule, all versions of a service are treated alike.
     pub fn set_version_rules(&mut self, mut rules: BTreeMap<ServiceName, VersionRule>) {
         for (name, service) in &mut self.services {
             let rule = rules.remove(name);
-            let known = service.division.as_ref().map(|division| &division.rule);
+            let known =
+                service.version_routing.as_ref().map(|version_routing| &version_routing.rule);
             if rule.as_ref() != known {
-                let new = |rule| Division { rule, placed: 0, placed_new: 0 };
-                service.division = rule.map(new);
+                let new = |rule| VersionRouting { rule, placed: 0, placed_new: 0 };
+                service.version_routing = rule.map(new);
             }
         }
     }
 
-    /// Returns what was seen of versions that are compared since the last call.
+    /// Returns the samples recorded since the last call.
     pub fn take_samples(&mut self) -> Vec<VersionSample> {
         std::mem::take(&mut self.samples)
     }
 
-    /// Returns how many requests run at endpoints of a service that `is_meant` by their version.
-    pub fn running_at(&self, service: &ServiceName, is_meant: impl Fn(&Version) -> bool) -> usize {
+    /// Returns the number of requests running on endpoints of a service whose version satisfies
+    /// `matches_version`.
+    pub fn running_at(
+        &self,
+        service: &ServiceName,
+        matches_version: impl Fn(&Version) -> bool,
+    ) -> usize {
         let endpoints = self.endpoints.values();
         let meant = endpoints.filter(|endpoint| {
-            endpoint.record.service == *service && is_meant(&endpoint.record.version)
+            endpoint.record.service == *service && matches_version(&endpoint.record.version)
         });
         meant.map(|endpoint| endpoint.running.len()).sum()
     }
 
-    /// Notes how a request ended at an endpoint.
-    pub(super) fn note_sample(&mut self, key: EndpointKey, rank: u8, finished: &Finished) {
+    /// Records the result of a request for the comparison of versions, if its service compares
+    /// them.
+    pub(super) fn record_sample(&mut self, key: EndpointKey, rank: u8, finished: &Finished) {
         let Some(endpoint) = self.endpoints.get(key) else { return };
         let record = &endpoint.record;
         let is_compared = self.services.get(&record.service).is_some_and(Service::is_compared);
--- a/crates/dispatch/src/endpoints/notices.rs
+++ b/crates/dispatch/src/endpoints/notices.rs
@@ -1,38 +1,39 @@
-//! What endpoints say of themselves in their answers.
+//! Notices that endpoints send about themselves in their responses.
 //!
-//! Load pattern: an endpoint that is full tells one instance to stay away for some seconds. Sent to
-//! all the same, its requests would be turned away one after the other, each at the price of a
-//! repeat. The others may still send there, until a second one is told so: then all stay away.
+//! Load pattern: a full endpoint asks one instance to pause for some seconds. If the instance
+//! continued to send, its requests would be rejected one by one, and each would cost a retry. Other
+//! instances may still send to the endpoint until a second one is asked to pause; then all
+//! instances pause.
 //!
-//! Load pattern: an endpoint begins to leave, and the news from itself comes late or to a cut-off
-//! instance. Its answers say it first.
+//! Load pattern: an endpoint starts to leave, and its announcement arrives late or not at all at an
+//! instance that is cut off. Its responses carry the information first.
 
 use lycheehub_types::EndpointName;
 use std::collections::BTreeMap;
 
-/// The longest pause that an endpoint can ask for, in milliseconds: a larger number is an error.
+/// The longest pause that an endpoint may request, in milliseconds; a larger value is an error.
 const PAUSE_MAX_MS: u64 = 600_000;
-/// How long a notice of an endpoint is kept that is not known here, in milliseconds.
-const KEPT_MS: u64 = 60_000;
-/// From how many instances on that were told to stay away all do.
-const TOLD_ALL: usize = 2;
+/// How long a notice from an unknown endpoint is kept, in milliseconds.
+const UNKNOWN_ENDPOINT_KEPT_MS: u64 = 60_000;
+/// The number of paused instances from which a pause applies to all instances.
+const SHARED_PAUSE_MIN: usize = 2;
 
-/// What an endpoint said of itself in an answer to an instance.
+/// A notice that an endpoint sent to an instance in a response.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Notice {
-    /// It leaves, and wants no new requests.
+    /// The endpoint is leaving and accepts no new requests.
     pub leaving: bool,
-    /// For how long it wants nothing from the instance, in milliseconds.
+    /// How long the instance should send no requests, in milliseconds.
     pub pause_ms: Option<u64>,
 }
 
 impl Notice {
-    /// Returns it with a pause of no more than any endpoint can ask for.
+    /// Returns the notice with its pause limited to the maximum.
     pub(crate) fn bounded(self) -> Self {
         Self { pause_ms: self.pause_ms.map(|pause_ms| pause_ms.min(PAUSE_MAX_MS)), ..self }
     }
 
-    /// Tells whether there is anything to heed.
+    /// Returns whether the notice contains no information.
     ///
     /// # Examples
     /// ```
@@ -47,25 +48,25 @@
 }
 
 #[derive(Clone, Debug, Default)]
-struct Said {
-    /// The incarnation that said it, where it is known.
+struct NoticeState {
+    /// The incarnation that sent the notices, if known.
     incarnation: Option<u64>,
-    /// When it was last heard, in milliseconds.
+    /// When the last notice was received, in milliseconds.
     heard_ms: u64,
     leaving: bool,
-    /// Until when it wants nothing from an instance, in milliseconds.
+    /// The end of the pause of each instance, in milliseconds.
     pauses: BTreeMap<u32, u64>,
 }
 
-/// What all endpoints said.
+/// The notices of all endpoints.
 #[derive(Clone, Debug, Default)]
 pub struct Notices {
-    said: BTreeMap<EndpointName, Said>,
+    by_endpoint: BTreeMap<EndpointName, NoticeState>,
 }
 
 impl Notices {
-    /// Takes what an endpoint, of that incarnation if it is known, said to an instance; its pause is
-    /// bounded.
+    /// Records a notice that an endpoint, in the given incarnation if known, sent to an instance.
+    /// The caller limits the pause.
     ///
     /// # Examples
     /// ```
@@ -73,76 +74,76 @@
     ///
     /// let mut notices = Notices::default();
     /// let notice = Notice { pause_ms: Some(2_000), ..Notice::default() };
-    /// notices.take(1_000, 1, (&"a".into(), None), notice);
+    /// notices.record(1_000, 1, (&"a".into(), None), notice);
     /// assert_eq!(notices.paused_until_ms(1_500, 1, &"a".into()), Some(3_000));
     /// assert_eq!(notices.paused_until_ms(1_500, 2, &"a".into()), None);
     /// ```
-    pub fn take(
+    pub fn record(
         &mut self,
         now_ms: u64,
         instance: u32,
         (name, incarnation): (&EndpointName, Option<u64>),
         notice: Notice,
     ) {
-        let said = self.said.entry(name.clone()).or_default();
-        if said.incarnation != incarnation && said.incarnation.is_some() {
-            *said = Said::default();
+        let state = self.by_endpoint.entry(name.clone()).or_default();
+        if state.incarnation != incarnation && state.incarnation.is_some() {
+            *state = NoticeState::default();
         }
-        said.incarnation = incarnation;
-        said.heard_ms = now_ms;
-        said.leaving |= notice.leaving;
+        state.incarnation = incarnation;
+        state.heard_ms = now_ms;
+        state.leaving |= notice.leaving;
         if let Some(pause_ms) = notice.pause_ms {
             let until_ms = now_ms + pause_ms;
-            let known_ms = said.pauses.entry(instance).or_default();
+            let known_ms = state.pauses.entry(instance).or_default();
             *known_ms = until_ms.max(*known_ms);
         }
     }
 
-    /// Takes which incarnation of an endpoint is there now; what an earlier one said is forgotten.
-    pub fn take_incarnation(&mut self, name: &EndpointName, incarnation: u64) {
-        let Some(said) = self.said.get_mut(name) else { return };
-        if *said.incarnation.get_or_insert(incarnation) != incarnation {
-            self.said.remove(name);
+    /// Sets the current incarnation of an endpoint and discards notices of other incarnations.
+    pub fn set_incarnation(&mut self, name: &EndpointName, incarnation: u64) {
+        let Some(state) = self.by_endpoint.get_mut(name) else { return };
+        if *state.incarnation.get_or_insert(incarnation) != incarnation {
+            self.by_endpoint.remove(name);
         }
     }
 
-    /// Tells whether an endpoint said that it leaves.
+    /// Returns whether an endpoint has announced that it is leaving.
     pub fn is_leaving(&self, name: &EndpointName) -> bool {
-        self.said.get(name).is_some_and(|said| said.leaving)
+        self.by_endpoint.get(name).is_some_and(|state| state.leaving)
     }
 
-    /// Returns until when an endpoint wants nothing from an instance, in milliseconds.
+    /// Returns when the pause of an endpoint for an instance ends, in milliseconds.
     pub fn paused_until_ms(&self, now_ms: u64, instance: u32, name: &EndpointName) -> Option<u64> {
-        let said = self.said.get(name)?;
-        let own = said.pauses.get(&instance).copied().filter(|until_ms| now_ms < *until_ms);
+        let state = self.by_endpoint.get(name)?;
+        let own = state.pauses.get(&instance).copied().filter(|until_ms| now_ms < *until_ms);
         if own.is_some() {
             return own;
         }
-        let all = said.pauses.values().copied().filter(|until_ms| now_ms < *until_ms);
-        if all.clone().count() >= TOLD_ALL { all.min() } else { None }
+        let all = state.pauses.values().copied().filter(|until_ms| now_ms < *until_ms);
+        if all.clone().count() >= SHARED_PAUSE_MIN { all.min() } else { None }
     }
 
-    /// Returns what is in force for an instance, by endpoint and the incarnation that said it.
-    pub fn in_force(
+    /// Returns the active notices for an instance, by endpoint and the incarnation that sent them.
+    pub fn active(
         &self,
         now_ms: u64,
         instance: u32,
     ) -> impl Iterator<Item = (&EndpointName, Option<u64>, Notice)> {
-        self.said.iter().filter_map(move |(name, said)| {
-            let until_ms = said.pauses.get(&instance).copied().unwrap_or_default();
+        self.by_endpoint.iter().filter_map(move |(name, state)| {
+            let until_ms = state.pauses.get(&instance).copied().unwrap_or_default();
             let left_ms = until_ms.saturating_sub(now_ms);
             let pause_ms = (left_ms > 0).then_some(left_ms);
-            let notice = Notice { leaving: said.leaving, pause_ms };
-            (!notice.is_empty()).then_some((name, said.incarnation, notice))
+            let notice = Notice { leaving: state.leaving, pause_ms };
+            (!notice.is_empty()).then_some((name, state.incarnation, notice))
         })
     }
 
-    /// Forgets pauses that are over, and endpoints that are gone.
-    pub fn forget_old(&mut self, now_ms: u64, is_known: impl Fn(&EndpointName) -> bool) {
-        self.said.retain(|name, said| {
-            said.pauses.retain(|_, until_ms| now_ms < *until_ms);
-            let says_anything = said.leaving || !said.pauses.is_empty();
-            says_anything && (is_known(name) || now_ms < said.heard_ms + KEPT_MS)
+    /// Removes expired pauses and notices of endpoints that are gone.
+    pub fn expire(&mut self, now_ms: u64, is_known: impl Fn(&EndpointName) -> bool) {
+        self.by_endpoint.retain(|name, state| {
+            state.pauses.retain(|_, until_ms| now_ms < *until_ms);
+            let is_relevant = state.leaving || !state.pauses.is_empty();
+            is_relevant && (is_known(name) || now_ms < state.heard_ms + UNKNOWN_ENDPOINT_KEPT_MS)
         });
     }
 }
--- a/crates/dispatch/src/endpoints/memory.rs
+++ b/crates/dispatch/src/endpoints/prefix_cache.rs
@@ -1,39 +1,39 @@
-//! Which parts of prompts an endpoint has read of late, as far as is known here.
+//! An estimate of the prompt parts in the prefix cache of an endpoint.
 
 use crate::job::PrefixPart;
 use std::collections::{BTreeMap, VecDeque};
 
-/// The most parts that are remembered of an endpoint.
+/// The maximum number of parts tracked per endpoint.
 const PARTS_MAX: usize = 512;
 
-/// The parts that were read, the oldest forgotten first.
+/// The recently processed prompt parts; the oldest are evicted first.
 #[derive(Clone, Debug, Default)]
-pub struct PrefixMemory {
-    /// How often each part stands in `order`.
+pub struct PrefixCache {
+    /// The number of occurrences of each part in `order`.
     parts: BTreeMap<u64, u32>,
     order: VecDeque<u64>,
 }
 
-impl PrefixMemory {
-    /// Returns how many tokens at the beginning of a prompt need not be read again.
+impl PrefixCache {
+    /// Returns the number of tokens at the start of a prompt that are expected to be cached.
     ///
     /// # Examples
     /// ```
-    /// use lycheehub_dispatch::{PrefixPart, endpoints::PrefixMemory};
+    /// use lycheehub_dispatch::{PrefixPart, endpoints::PrefixCache};
     ///
     /// let (shared, own) = (PrefixPart { id: 1, tokens: 60 }, PrefixPart { id: 2, tokens: 500 });
-    /// let mut memory = PrefixMemory::default();
-    /// memory.note(&[shared]);
-    /// assert_eq!(memory.cached_tokens(&[shared, own]), 60);
-    /// assert_eq!(memory.cached_tokens(&[own, shared]), 0);
+    /// let mut cache = PrefixCache::default();
+    /// cache.record(&[shared]);
+    /// assert_eq!(cache.cached_tokens(&[shared, own]), 60);
+    /// assert_eq!(cache.cached_tokens(&[own, shared]), 0);
     /// ```
     pub fn cached_tokens(&self, prefix: &[PrefixPart]) -> u32 {
         let known = prefix.iter().take_while(|part| self.parts.contains_key(&part.id));
         known.map(|part| part.tokens).sum()
     }
 
-    /// Notes that a prompt was read.
-    pub fn note(&mut self, prefix: &[PrefixPart]) {
+    /// Records the parts of a processed prompt.
+    pub fn record(&mut self, prefix: &[PrefixPart]) {
         for part in prefix {
             *self.parts.entry(part.id).or_default() += 1;
             self.order.push_back(part.id);
--- a/crates/dispatch/src/job.rs
+++ b/crates/dispatch/src/job.rs
@@ -1,81 +1,82 @@
-//! What is asked of the dispatcher, what it decides, and what is reported back.
+//! The jobs submitted to the dispatcher, its decisions, and the reported results.
 
 use lycheehub_types::{AccountName, EndpointName, FailureDomain, ServiceName};
 use smol_str::SmolStr;
 
-/// The key of a request: the instance that took it, by its number here, and the request's number
-/// there.
+/// Identifies a job: the number that this process gave to the instance that received the request,
+/// and the number that the instance gave to the request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub struct Ticket {
-    /// The instance.
+pub struct JobId {
+    /// The number of the instance.
     pub instance: u32,
-    /// The request.
+    /// The number of the request at its instance.
     pub number: u64,
 }
 
-/// A part of a prompt, shared with other requests of the same identifier.
+/// A part of a prompt; requests with the same identifier share it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct PrefixPart {
-    /// The identifier.
+    /// The identifier of the part.
     pub id: u64,
     /// The length, in tokens.
     pub tokens: u32,
 }
 
-/// A request that asks for an endpoint.
+/// A request that needs an endpoint.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Job {
-    /// The request.
-    pub ticket: Ticket,
-    /// The service that is to answer.
+    /// The identifier of the job.
+    pub job_id: JobId,
+    /// The service that handles the request.
     pub service: ServiceName,
-    /// The tier; nothing of a lower one is admitted while a higher one is shed. 0 is the highest.
+    /// The tier; 0 is the highest. While a tier is shed, jobs of lower tiers are not admitted.
     pub tier: u8,
     /// The rank within the tier; 0 is the most urgent one.
     pub rank: u8,
-    /// The client account, if the request came with a key.
+    /// The client account, if the request was sent with an API key.
     pub account: Option<AccountName>,
-    /// The tokens that the request is counted by, if it tells them.
-    pub told_tokens: Option<u64>,
+    /// The number of tokens that the caller declared for quota accounting, if any.
+    pub declared_tokens: Option<u64>,
     /// The length of the prompt, in tokens.
     pub prompt_tokens: u32,
-    /// The likely length of the answer, in tokens.
+    /// The expected length of the response, in tokens.
     pub output_tokens: u32,
     /// The parts of the prompt, in order.
     pub prefix: Vec<PrefixPart>,
-    /// The time left in which an answer is on time, in milliseconds; 0 where it is late already.
+    /// The time left until the first byte is late, in milliseconds; 0 if it is late already.
     pub objective_left_ms: u64,
-    /// The time left until the caller leaves unless the first byte has come, in milliseconds.
+    /// The time left until the caller gives up waiting for the first byte, in milliseconds.
     pub patience_left_ms: u64,
-    /// The time left in which an answer is of any use, in milliseconds.
+    /// The time left until the response is useless, in milliseconds.
     pub deadline_left_ms: u64,
-    /// The caller was refused before and has come back when it was told to.
+    /// The caller was refused before and has retried after the given delay.
     pub returning: bool,
-    /// The caller has a part of its stream already, which broke off at another endpoint.
-    pub goes_on: bool,
-    /// It is sent to no further endpoint if this one fails.
-    pub is_final: bool,
-    /// Where the request was taken.
+    /// The job resumes a stream that broke off on another endpoint after the caller received a part
+    /// of it.
+    pub resumes_stream: bool,
+    /// The job is not retried on another endpoint if this attempt fails.
+    pub is_last_attempt: bool,
+    /// The failure domain of the instance that received the request.
     pub failure_domain: FailureDomain,
-    /// The endpoints that it was sent to before.
+    /// The endpoints that have already been tried.
     pub tried: Vec<EndpointName>,
-    /// It may be sent to another endpoint although one may have run it, or was sent to one that
-    /// refused it: it counts as a repeat.
+    /// The job is a retry that counts towards the retry budget: an earlier attempt may have run, or
+    /// an endpoint rejected it.
     pub repeat: bool,
 }
 
 impl Job {
-    /// Returns the job as it is after `waited_ms` milliseconds: with so much less time left.
+    /// Returns the job as it is after `waited_ms` milliseconds, with that much less time left.
     ///
     /// # Examples
     /// ```
-    /// # use lycheehub_dispatch::{Job, Ticket};
-    /// # let ticket = Ticket { instance: 1, number: 1 };
+    /// # use lycheehub_dispatch::{Job, JobId};
+    /// # let job_id = JobId { instance: 1, number: 1 };
     /// # let job = Job {
-    /// #     ticket, service: "labels".into(), tier: 0, rank: 0, account: None, told_tokens: None,
+    /// #     job_id, service: "labels".into(), tier: 0, rank: 0, account: None, declared_tokens: None,
     /// #     prompt_tokens: 0, output_tokens: 0, prefix: vec![], objective_left_ms: 100,
     /// #     patience_left_ms: 500, deadline_left_ms: 500, returning: false,
-    /// #     goes_on: false, is_final: false, failure_domain: "salto".into(), tried: vec![],
+    /// #     resumes_stream: false, is_last_attempt: false, failure_domain: "salto".into(), tried: vec![],
     /// #     repeat: false,
     /// # };
     /// let later = job.after(200);
@@ -91,75 +92,75 @@
     }
 }
 
-/// What becomes of a request.
+/// The decision about a job.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Decision {
-    /// It goes to an endpoint.
+    /// The job is sent to an endpoint.
     Place {
-        /// The request.
-        ticket: Ticket,
-        /// The endpoint.
+        /// The identifier of the job.
+        job_id: JobId,
+        /// The name of the endpoint.
         endpoint: EndpointName,
-        /// Where the endpoint listens.
+        /// The address of the endpoint.
         address: SmolStr,
-        /// When its first byte is expected, in milliseconds after it was sent.
+        /// The expected time from sending the request to its first byte, in milliseconds.
         first_byte_ms: u64,
     },
-    /// It is not sent anywhere.
+    /// The job is refused.
     Refuse {
-        /// The request.
-        ticket: Ticket,
-        /// Why.
+        /// The identifier of the job.
+        job_id: JobId,
+        /// The reason for the refusal.
         reason: Reason,
-        /// After how many milliseconds there will be room.
+        /// The delay after which the caller may retry, in milliseconds.
         retry_after_ms: u64,
     },
 }
 
-/// Why a request is not sent to an endpoint.
+/// Why a job is refused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Reason {
-    /// What waits before it takes longer than the request has time.
+    /// The backlog takes longer than the job has time.
     Overloaded,
-    /// No endpoint of the service takes work.
+    /// The service has no endpoint that accepts requests.
     NoEndpoint,
-    /// The client account has used up its quota.
+    /// The client account has exceeded its quota.
     QuotaExceeded,
-    /// Too many requests of the service were repeated of late.
+    /// The service has used up its retry budget.
     RetriesExhausted,
 }
 
-/// How a request that went to an endpoint ended there.
+/// How an attempt ended on its endpoint.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
-    /// The endpoint answered.
+    /// The endpoint returned a response.
     Answered,
-    /// The endpoint answered that it failed.
+    /// The endpoint returned an error.
     Failed,
-    /// The endpoint said that it did not run the request.
+    /// The endpoint reported that it did not run the request.
     Rejected,
-    /// The answer was cut off, or was none.
+    /// The response was incomplete or malformed.
     Broken,
-    /// No connection could be made.
+    /// The connection failed.
     NotConnected,
-    /// Another endpoint listens at the address.
+    /// A different endpoint listens at the address.
     Misdirected,
-    /// The caller left, or its time was over.
+    /// The caller left or the deadline passed.
     Abandoned,
 }
 
-/// The end of a request at an endpoint.
+/// The result of an attempt on an endpoint.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Finished {
-    /// The request.
-    pub ticket: Ticket,
-    /// How it ended.
+    /// The identifier of the job.
+    pub job_id: JobId,
+    /// How the attempt ended.
     pub outcome: Outcome,
-    /// How long the first byte of the answer, or the first event of a stream, took, in
+    /// The time until the first byte of the response, or the first event of a stream, in
     /// milliseconds.
     pub first_byte_ms: Option<u32>,
-    /// How much longer the rest took, in milliseconds.
+    /// The time from then to the end of the response, in milliseconds.
     pub rest_ms: u32,
-    /// How many events came.
+    /// The number of events received.
     pub events: u32,
 }
--- a/crates/dispatch/src/lib.rs
+++ b/crates/dispatch/src/lib.rs
@@ -1,14 +1,14 @@
-//! Decides which request goes to which endpoint, which waits and which is refused.
+//! Decides which endpoint each request is sent to, and which requests are queued or refused.
 //!
-//! The [`Dispatcher`] is pure: it takes the time and an event, and returns [`Decision`]s. One runs
-//! at the leading control replica and sees the requests of all instances. Each entry instance has
-//! another one for its own requests, for the times at which no leader can be reached.
+//! The [`Dispatcher`] performs no I/O and reads no clock: it is given the time and an event, and
+//! returns [`Decision`]s. The leading control replica runs one for the requests of all instances.
+//! Every entry instance runs another for its own requests while no leader is reachable.
 //!
-//! * [`job`] holds what is asked, decided and reported back.
-//! * [`endpoints`] estimates load, speed and health of endpoints.
-//! * [`queue`] holds what waits, in the order in which it is served.
-//! * [`quota`] and [`retries`] bound what client accounts and repeats may use.
-//! * [`dispatcher`] puts them together, [`placement`] is its border to those that have requests.
+//! * [`job`] defines jobs, decisions and results.
+//! * [`endpoints`] estimates the load, speed and health of endpoints.
+//! * [`queue`] orders the waiting jobs.
+//! * [`quota`] and [`retries`] limit client accounts and retries.
+//! * [`dispatcher`] combines these, and [`placement`] is the interface for request handlers.
 #![deny(missing_docs, rust_2018_idioms)]
 #![forbid(unsafe_code)]
 
@@ -23,7 +23,7 @@
 
 pub use dispatcher::{Dispatcher, InFlight, ServiceLoad, VersionMode, VersionRule, VersionSample};
 pub use endpoints::Notice;
-pub use job::{Decision, Finished, Job, Outcome, PrefixPart, Reason, Ticket};
+pub use job::{Decision, Finished, Job, JobId, Outcome, PrefixPart, Reason};
 pub use options::Options;
 pub use placement::Placement;
 pub use quota::Usage;
--- a/crates/dispatch/src/options.rs
+++ b/crates/dispatch/src/options.rs
@@ -1,31 +1,31 @@
-//! Weights and bounds of the dispatcher.
+//! Weights and limits of the dispatcher.
 
-/// Weights and bounds.
+/// Weights and limits.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Options {
-    /// The part of each endpoint's slots that this dispatcher may use: 1 where it sees the requests
-    /// of all instances.
+    /// The fraction of each endpoint's slots that this dispatcher may use; 1 if it handles the
+    /// requests of all instances.
     pub slot_share: f64,
-    /// What the slots that fall to this dispatcher are drawn by; it differs from one to the other.
+    /// The salt of the hash that selects this dispatcher's slots; different for each dispatcher.
     pub slot_salt: u64,
-    /// The part of quotas and of the retry budget that it may use.
+    /// The fraction of the quotas and of the retry budget that this dispatcher may use.
     pub budget_share: f64,
-    /// The length of the window for which quotas hold, in milliseconds.
+    /// The length of the quota window, in milliseconds.
     pub quota_window_ms: u64,
-    /// How far use may pass a quota in a window, as a part of it.
+    /// How far the usage in a window may exceed a quota, as a fraction of it.
     pub quota_overshoot: f64,
-    /// How many units may be used beyond that.
+    /// How many further units may be used in a window.
     pub quota_slack_units: f64,
-    /// How many repeats each request of a service allows.
+    /// The number of retries allowed per request of a service.
     pub retry_ratio: f64,
-    /// How many repeats of a service are allowed besides, in a window.
+    /// The number of further retries allowed per service and window.
     pub retry_slack: f64,
-    /// The length of the window in which repeats are counted, in milliseconds.
+    /// The length of the window in which retries are counted, in milliseconds.
     pub retry_window_ms: u64,
-    /// The most requests that wait for one service.
+    /// The maximum number of queued jobs per service.
     pub queue_max: usize,
-    /// What an endpoint outside the caller's failure domain costs, in milliseconds of waiting.
-    pub foreign_domain_ms: f64,
+    /// The cost of an endpoint outside the caller's failure domain, in milliseconds of waiting.
+    pub cross_domain_cost_ms: f64,
 }
 
 impl Default for Options {
@@ -41,7 +41,7 @@
             retry_slack: 10.0,
             retry_window_ms: 10_000,
             queue_max: 5_000,
-            foreign_domain_ms: 4.0,
+            cross_domain_cost_ms: 4.0,
         }
     }
 }
--- a/crates/dispatch/src/placement.rs
+++ b/crates/dispatch/src/placement.rs
@@ -1,33 +1,33 @@
-//! The border between those that have requests and whoever places them.
+//! The interface between request handlers and the dispatcher that places their requests.
 
-use crate::{Decision, Finished, Job, Notice, Ticket};
+use crate::{Decision, Finished, Job, JobId, Notice};
 use lycheehub_types::EndpointName;
 use std::future::Future;
 use std::pin::Pin;
 
-/// A decision to come.
-pub type Deciding<'a> = Pin<Box<dyn Future<Output = Decision> + 'a>>;
+/// The future of a decision.
+pub type DecisionFuture<'a> = Pin<Box<dyn Future<Output = Decision> + 'a>>;
 
-/// Places requests.
+/// Places requests on endpoints.
 pub trait Placement {
-    /// Numbers a new request.
-    fn ticket(&self) -> Ticket;
+    /// Returns the identifier for a new job.
+    fn next_job_id(&self) -> JobId;
 
-    /// Decides about a request; one that is dropped before must be withdrawn.
-    fn place(&self, job: Job) -> Deciding<'_>;
+    /// Submits a job. If the future is dropped before it completes, the job must be withdrawn.
+    fn place(&self, job: Job) -> DecisionFuture<'_>;
 
-    /// Takes the end of a request at the endpoint that it was placed at.
+    /// Reports the result of an attempt on the endpoint that the job was placed on.
     fn finish(&self, finished: Finished);
 
-    /// Takes the news that a request has not had an answer for much longer than expected.
-    fn stalled(&self, ticket: Ticket);
+    /// Reports that a job has had no response for much longer than expected.
+    fn report_stall(&self, job_id: JobId);
 
-    /// Takes the news that the caller of a request that waits has left.
-    fn withdraw(&self, ticket: Ticket);
+    /// Removes a waiting job whose caller has left.
+    fn withdraw(&self, job_id: JobId);
 
-    /// Takes what an endpoint said of itself in an answer to this instance.
-    fn heed(&self, endpoint: &EndpointName, notice: Notice);
+    /// Records a notice that this instance received in a response of an endpoint.
+    fn record_notice(&self, endpoint: &EndpointName, notice: Notice);
 
-    /// Tells whether an endpoint has said that it wants nothing new from this instance now.
-    fn is_barred(&self, endpoint: &EndpointName) -> bool;
+    /// Returns whether an endpoint is leaving or has paused requests of this instance.
+    fn is_excluded(&self, endpoint: &EndpointName) -> bool;
 }
--- a/crates/dispatch/src/queue.rs
+++ b/crates/dispatch/src/queue.rs
@@ -1,266 +1,269 @@
-//! What waits for one service, in the order in which it is served.
+//! The waiting jobs of a service, in scheduling order.
 //!
-//! Load pattern: a burst of several seconds above capacity. Served strictly by arrival, every
-//! request would start late for as long as the backlog lasts, and most callers would have left by
-//! then. So those that can still be on time go before those that cannot; and where the backlog is
-//! longer than the newest of them can wait, or jobs already run out of time, the newest goes first,
-//! so that what is served is served well on time and only what is left over runs out of time.
+//! Load pattern: a burst exceeds the capacity for several seconds. In strict arrival order, every
+//! request would start late as long as the backlog lasts, and most callers would have left by then.
+//! Jobs that can still meet their objective therefore precede those that cannot. If the backlog is
+//! longer than the newest of them can wait, or jobs already expire, the newest job goes first: jobs
+//! that are served start well in time, and only the remaining ones expire.
 //!
-//! Load pattern: bursts in which urgent requests are late themselves. They are served after urgent ones
-//! that can still be on time, and before all that is less urgent, which would otherwise be served more
-//! often than they are.
+//! Load pattern: urgent requests become late in a burst. They are served after urgent requests that
+//! can still be on time and before all less urgent ones, which would otherwise be served more often
+//! than they are.
 //!
-//! Load pattern: short requests behind long ones. One that needs a small part of what others need
-//! delays them by little, and is served with the most urgent ones of its tier.
+//! Load pattern: short requests queue behind long ones. A short request hardly delays the others
+//! and is served with the most urgent rank of its tier.
 //!
-//! Load pattern: endpoints are lost in a burst, each in the middle of many streams. The rest of a
-//! stream needs less than a new one, and what its caller has is worth nothing without it. So it is
-//! served with the most urgent ones of its tier as well, and kept for some time when it is late.
+//! Load pattern: endpoints are lost during a burst, each with many active streams. The rest of a
+//! stream needs less time than a new one, and the part that the caller already has is worthless
+//! without it. A job that resumes a stream is therefore also served with the most urgent rank of
+//! its tier, and is kept for some time when it is late.
 
-use crate::job::{Job, Ticket};
+use crate::job::{Job, JobId};
 use std::collections::BTreeMap;
 
-/// The part of the newest job's time within which a backlog must be done to be served by arrival.
-const BACKLOG_SHARE: f64 = 0.8;
-/// The same part while jobs run out of time: what is then served by arrival is served in the last
+/// Jobs are served in arrival order if the backlog ends within this fraction of the newest job's
+/// remaining time.
+const FIFO_BACKLOG_SHARE: f64 = 0.8;
+/// The same fraction while jobs expire; jobs served in arrival order would then start at the last
 /// moment.
-const BACKLOG_SHARE_SHEDDING: f64 = 0.3;
-/// How long a line counts as running out of time after the last one did, in milliseconds.
+const FIFO_BACKLOG_SHARE_SHEDDING: f64 = 0.3;
+/// How long a queue counts as shedding after a job expired, in milliseconds.
 const SHEDDING_MS: u64 = 500;
-/// The part of the time to the first byte that is kept in hand: estimates are that far off.
-const RESERVE: f64 = 0.25;
-/// The time that is kept in hand where the caller would leave, in milliseconds, beside as much
-/// again as the first byte is likely to take: what is placed in the last moment is worked on for
-/// nobody.
-const LEAVE_RESERVE_MS: u64 = 30;
-/// How long a job that will be late is kept at most, in milliseconds: half of the time that the
-/// least patient callers of streams wait.
-const LATE_WAITS_MS: u64 = 1_000;
-/// The part of its time left for which it is kept at most: a caller whose time is nearly over when
-/// it is refused was held in vain.
-const LATE_WAITS_SHARE: f64 = 0.33;
-
-/// A job that waits.
+/// The safety margin for the time to the first byte, as a fraction of it; the estimates have about
+/// this error.
+const FIRST_BYTE_MARGIN: f64 = 0.25;
+/// The safety margin before the caller gives up, in milliseconds, in addition to twice the expected
+/// time to the first byte: a job placed at the last moment runs for a caller that has left.
+const PATIENCE_MARGIN_MS: u64 = 30;
+/// How long a late job is kept at most, in milliseconds: half of the time that the least patient
+/// callers of streams wait.
+const LATE_KEPT_MAX_MS: u64 = 1_000;
+/// How long a late job is kept at most, as a fraction of its remaining time: a caller that is
+/// refused when its time is nearly over has waited for nothing.
+const LATE_KEPT_SHARE: f64 = 0.33;
+
+/// A job in the queue.
 #[derive(Clone, Debug)]
-pub struct Waiting {
-    /// The job.
+pub struct QueuedJob {
+    /// The job as it was submitted.
     pub job: Job,
-    /// When it was last found that no free endpoint suits it.
-    pub weighed_ms: Option<u64>,
-    /// When it came.
+    /// When the job was last evaluated and no free endpoint was suitable.
+    pub evaluated_ms: Option<u64>,
+    /// When the job arrived.
     pub since_ms: u64,
-    /// The last moment at which its first byte is on time.
+    /// When the first byte becomes late.
     pub objective_ms: u64,
-    /// When its caller leaves unless the first byte has come.
+    /// When the caller gives up waiting for the first byte.
     pub patience_ms: u64,
-    /// When its answer is of no more use.
+    /// When the response becomes useless.
     pub deadline_ms: u64,
-    /// How long it is likely to take until its first byte once it is placed, in milliseconds.
+    /// The expected time from placing the job to its first byte, in milliseconds.
     pub first_byte_ms: u64,
-    /// How long it is likely to hold a slot, in milliseconds.
+    /// The expected time that the job holds a slot, in milliseconds.
     pub slot_ms: u64,
-    /// How long it is likely to hold a slot of the fastest endpoint, in milliseconds.
-    pub least_slot_ms: u64,
-    /// It needs little of what others need: it goes with the most urgent ones of its tier.
+    /// The expected time that the job holds a slot of the fastest endpoint, in milliseconds.
+    pub min_slot_ms: u64,
+    /// The job is short compared to the mean and is served with the most urgent rank of its tier.
     pub is_short: bool,
-    /// What it took of its account's quota.
+    /// The units charged to the quota of the job's account.
     pub units: f64,
 }
 
-impl Waiting {
-    /// Returns the last moment at which the job should be placed to be on time.
+impl QueuedJob {
+    /// Returns the latest time at which the job can be placed and still meet its objective.
     pub fn on_time_until_ms(&self) -> u64 {
-        self.objective_ms.saturating_sub(self.first_byte_ms + self.reserve_ms())
+        self.objective_ms.saturating_sub(self.first_byte_ms + self.margin_ms())
     }
 
-    /// Tells whether the caller will have left, or the deadline will be over, before the answer:
-    /// at any endpoint, or where many wait for the fastest ones, at the mean one.
-    pub fn is_hopeless(&self, now_ms: u64, many_wait: bool) -> bool {
-        let first_ms = now_ms + 2 * self.first_byte_ms + LEAVE_RESERVE_MS;
-        let slot_ms = if many_wait { self.slot_ms } else { self.least_slot_ms };
+    /// Returns whether the caller will have left, or the deadline will have passed, before the
+    /// response ends: on the fastest endpoint, or on the mean endpoint if many jobs wait for the
+    /// fastest ones.
+    pub fn is_infeasible(&self, now_ms: u64, many_wait: bool) -> bool {
+        let first_ms = now_ms + 2 * self.first_byte_ms + PATIENCE_MARGIN_MS;
+        let slot_ms = if many_wait { self.slot_ms } else { self.min_slot_ms };
         first_ms >= self.patience_ms.min(self.deadline_ms) || now_ms + slot_ms >= self.deadline_ms
     }
 
-    /// Returns the rank of the line in which the job waits.
-    fn line_rank(&self) -> u8 {
-        if self.is_short || self.job.goes_on { 0 } else { self.job.rank }
+    /// Returns the rank by which the job is queued.
+    fn effective_rank(&self) -> u8 {
+        if self.is_short || self.job.resumes_stream { 0 } else { self.job.rank }
     }
 
-    /// Tells whether the job could have been done in time when it came.
-    pub fn had_time(&self) -> bool {
-        const SOON_MS: u64 = 100;
-        !self.is_hopeless(self.since_ms + SOON_MS, false)
+    /// Returns whether the job had enough time when it arrived.
+    pub fn was_feasible(&self) -> bool {
+        const MARGIN_MS: u64 = 100;
+        !self.is_infeasible(self.since_ms + MARGIN_MS, false)
     }
 
-    fn reserve_ms(&self) -> u64 {
-        (self.first_byte_ms as f64 * RESERVE) as u64
+    fn margin_ms(&self) -> u64 {
+        (self.first_byte_ms as f64 * FIRST_BYTE_MARGIN) as u64
     }
 
-    /// Returns until when the job is kept where it will be late.
-    fn late_until_ms(&self) -> u64 {
+    /// Returns until when the job is kept once it is late.
+    fn keep_late_until_ms(&self) -> u64 {
         let late_ms = self.since_ms.max(self.on_time_until_ms());
         let left_ms = self.patience_ms.saturating_sub(late_ms) as f64;
-        late_ms + LATE_WAITS_MS.min((left_ms * LATE_WAITS_SHARE) as u64)
+        late_ms + LATE_KEPT_MAX_MS.min((left_ms * LATE_KEPT_SHARE) as u64)
     }
 }
 
-/// Jobs of one rank by the moment until which each is best placed.
+/// Jobs of one rank, ordered by the time until which they should be placed.
 #[derive(Clone, Debug, Default)]
-struct Line {
-    jobs: BTreeMap<(u64, Ticket), Waiting>,
-    /// For how long the jobs need slots, in milliseconds.
+struct DeadlineQueue {
+    jobs: BTreeMap<(u64, JobId), QueuedJob>,
+    /// The total slot time that the jobs need, in milliseconds.
     slot_ms: u64,
-    /// When one last ran out of time, in milliseconds.
+    /// When a job last expired, in milliseconds.
     expired_ms: Option<u64>,
 }
 
-impl Line {
-    fn push(&mut self, until_ms: u64, waiting: Waiting) {
-        self.slot_ms += waiting.slot_ms;
-        self.jobs.insert((until_ms, waiting.job.ticket), waiting);
+impl DeadlineQueue {
+    fn push(&mut self, until_ms: u64, queued: QueuedJob) {
+        self.slot_ms += queued.slot_ms;
+        self.jobs.insert((until_ms, queued.job.job_id), queued);
     }
 
-    fn take(&mut self, key: (u64, Ticket)) -> Option<Waiting> {
-        let waiting = self.jobs.remove(&key)?;
-        self.slot_ms -= waiting.slot_ms;
-        Some(waiting)
+    fn take(&mut self, key: (u64, JobId)) -> Option<QueuedJob> {
+        let queued = self.jobs.remove(&key)?;
+        self.slot_ms -= queued.slot_ms;
+        Some(queued)
     }
 
-    /// Takes the job that is served next by endpoints with so many slots.
-    fn pop(&mut self, now_ms: u64, slots: usize) -> Option<Waiting> {
+    /// Removes the job to be served next, given the number of slots of the service.
+    fn pop(&mut self, now_ms: u64, slots: usize) -> Option<QueuedJob> {
         let (first, last) = (*self.jobs.first_key_value()?.0, *self.jobs.last_key_value()?.0);
         let backlog_ms = self.slot_ms as f64 / slots.max(1) as f64;
         let newest_waits_ms = last.0.saturating_sub(now_ms) as f64;
-        let sheds = self.expired_ms.is_some_and(|at_ms| now_ms < at_ms + SHEDDING_MS);
-        let share = if sheds { BACKLOG_SHARE_SHEDDING } else { BACKLOG_SHARE };
-        let by_arrival = backlog_ms <= newest_waits_ms * share;
-        self.take(if by_arrival { first } else { last })
+        let is_shedding = self.expired_ms.is_some_and(|at_ms| now_ms < at_ms + SHEDDING_MS);
+        let share = if is_shedding { FIFO_BACKLOG_SHARE_SHEDDING } else { FIFO_BACKLOG_SHARE };
+        let is_fifo = backlog_ms <= newest_waits_ms * share;
+        self.take(if is_fifo { first } else { last })
     }
 
-    /// Takes those of which the time is over.
-    fn take_expired(&mut self, now_ms: u64) -> Vec<Waiting> {
+    /// Removes the expired jobs.
+    fn take_expired(&mut self, now_ms: u64) -> Vec<QueuedJob> {
         let expired = self.jobs.keys().take_while(|key| key.0 <= now_ms).copied();
-        let expired: Vec<(u64, Ticket)> = expired.collect();
+        let expired: Vec<(u64, JobId)> = expired.collect();
         if !expired.is_empty() {
             self.expired_ms = Some(now_ms);
         }
         expired.into_iter().filter_map(|key| self.take(key)).collect()
     }
 
-    fn take_if(&mut self, mut wanted: impl FnMut(&Waiting) -> bool) -> Vec<Waiting> {
-        let found = self.jobs.iter().filter(|(_, waiting)| wanted(waiting)).map(|(key, _)| *key);
-        let found: Vec<(u64, Ticket)> = found.collect();
+    fn take_if(&mut self, mut wanted: impl FnMut(&QueuedJob) -> bool) -> Vec<QueuedJob> {
+        let found = self.jobs.iter().filter(|(_, queued)| wanted(queued)).map(|(key, _)| *key);
+        let found: Vec<(u64, JobId)> = found.collect();
         found.into_iter().filter_map(|key| self.take(key)).collect()
     }
 }
 
 /// The jobs of one rank.
 #[derive(Clone, Debug, Default)]
-struct Rank {
-    /// Those that may still be on time, by the moment until which they can be.
-    on_time: Line,
-    /// Those that will be late, by the moment until which they are kept.
-    late: Line,
+struct RankQueue {
+    /// Jobs that can still meet their objective, ordered by the latest time to place them.
+    on_time: DeadlineQueue,
+    /// Late jobs, ordered by the time until which they are kept.
+    late: DeadlineQueue,
 }
 
-impl Rank {
-    fn lines(&self) -> [&Line; 2] {
+impl RankQueue {
+    fn queues(&self) -> [&DeadlineQueue; 2] {
         [&self.on_time, &self.late]
     }
 
-    fn lines_mut(&mut self) -> [&mut Line; 2] {
+    fn queues_mut(&mut self) -> [&mut DeadlineQueue; 2] {
         [&mut self.on_time, &mut self.late]
     }
 }
 
 /// The jobs of one tier, by rank.
 #[derive(Clone, Debug, Default)]
-struct Tier {
-    ranks: BTreeMap<u8, Rank>,
+struct TierQueue {
+    ranks: BTreeMap<u8, RankQueue>,
 }
 
-impl Tier {
-    fn push(&mut self, now_ms: u64, waiting: Waiting) {
-        let rank = self.ranks.entry(waiting.line_rank()).or_default();
-        let until_ms = waiting.on_time_until_ms();
+impl TierQueue {
+    fn push(&mut self, now_ms: u64, queued: QueuedJob) {
+        let rank = self.ranks.entry(queued.effective_rank()).or_default();
+        let until_ms = queued.on_time_until_ms();
         if until_ms > now_ms {
-            rank.on_time.push(until_ms, waiting);
+            rank.on_time.push(until_ms, queued);
         } else {
-            rank.late.push(waiting.late_until_ms(), waiting);
+            rank.late.push(queued.keep_late_until_ms(), queued);
         }
     }
 
-    fn lines(&self) -> impl Iterator<Item = &Line> {
-        self.ranks.values().flat_map(Rank::lines)
+    fn queues(&self) -> impl Iterator<Item = &DeadlineQueue> {
+        self.ranks.values().flat_map(RankQueue::queues)
     }
 
-    fn lines_mut(&mut self) -> impl Iterator<Item = &mut Line> {
-        self.ranks.values_mut().flat_map(Rank::lines_mut)
+    fn queues_mut(&mut self) -> impl Iterator<Item = &mut DeadlineQueue> {
+        self.ranks.values_mut().flat_map(RankQueue::queues_mut)
     }
 
-    fn pop(&mut self, now_ms: u64, slots: usize) -> Option<Waiting> {
-        self.lines_mut().find_map(|line| line.pop(now_ms, slots))
+    fn pop(&mut self, now_ms: u64, slots: usize) -> Option<QueuedJob> {
+        self.queues_mut().find_map(|queue| queue.pop(now_ms, slots))
     }
 }
 
-/// All that waits for one service.
+/// The waiting jobs of a service.
 #[derive(Clone, Debug, Default)]
 pub struct Queue {
-    tiers: BTreeMap<u8, Tier>,
+    tiers: BTreeMap<u8, TierQueue>,
 }
 
 impl Queue {
-    /// Adds a job.
-    pub fn push(&mut self, now_ms: u64, waiting: Waiting) {
-        self.tiers.entry(waiting.job.tier).or_default().push(now_ms, waiting);
+    /// Adds a job to the queue.
+    pub fn push(&mut self, now_ms: u64, queued: QueuedJob) {
+        self.tiers.entry(queued.job.tier).or_default().push(now_ms, queued);
     }
 
-    /// Takes the job that is served next by endpoints with so many slots.
-    pub fn pop(&mut self, now_ms: u64, slots: usize) -> Option<Waiting> {
+    /// Removes the job to be served next, given the number of slots of the service.
+    pub fn pop(&mut self, now_ms: u64, slots: usize) -> Option<QueuedJob> {
         self.tiers.values_mut().find_map(|tier| tier.pop(now_ms, slots))
     }
 
-    /// Takes a job that no longer waits.
-    pub fn remove(&mut self, ticket: Ticket) -> Option<Waiting> {
-        let mut lines = self.tiers.values_mut().flat_map(Tier::lines_mut);
-        lines.find_map(|line| {
-            let key = *line.jobs.keys().find(|key| key.1 == ticket)?;
-            line.take(key)
+    /// Removes a job by its identifier.
+    pub fn remove(&mut self, job_id: JobId) -> Option<QueuedJob> {
+        let mut queues = self.tiers.values_mut().flat_map(TierQueue::queues_mut);
+        queues.find_map(|queue| {
+            let key = *queue.jobs.keys().find(|key| key.1 == job_id)?;
+            queue.take(key)
         })
     }
 
-    /// Takes the jobs that can no longer be on time, and were not known to be late.
-    pub fn take_expired(&mut self, now_ms: u64) -> Vec<Waiting> {
+    /// Removes the jobs that have become unable to meet their objective.
+    pub fn take_expired(&mut self, now_ms: u64) -> Vec<QueuedJob> {
         self.ranks_mut().flat_map(|rank| rank.on_time.take_expired(now_ms)).collect()
     }
 
-    /// Takes the late jobs that have been kept for as long as they are.
-    pub fn take_overdue(&mut self, now_ms: u64) -> Vec<Waiting> {
+    /// Removes the late jobs that have been kept for the maximum time.
+    pub fn take_overdue(&mut self, now_ms: u64) -> Vec<QueuedJob> {
         self.ranks_mut().flat_map(|rank| rank.late.take_expired(now_ms)).collect()
     }
 
-    fn ranks_mut(&mut self) -> impl Iterator<Item = &mut Rank> {
+    fn ranks_mut(&mut self) -> impl Iterator<Item = &mut RankQueue> {
         self.tiers.values_mut().flat_map(|tier| tier.ranks.values_mut())
     }
 
-    /// Takes all jobs that are `wanted`.
-    pub fn take_if(&mut self, mut wanted: impl FnMut(&Waiting) -> bool) -> Vec<Waiting> {
-        let lines = self.tiers.values_mut().flat_map(Tier::lines_mut);
-        lines.flat_map(|line| line.take_if(&mut wanted)).collect()
+    /// Removes all jobs for which `wanted` returns true.
+    pub fn take_if(&mut self, mut wanted: impl FnMut(&QueuedJob) -> bool) -> Vec<QueuedJob> {
+        let queues = self.tiers.values_mut().flat_map(TierQueue::queues_mut);
+        queues.flat_map(|queue| queue.take_if(&mut wanted)).collect()
     }
 
-    /// Returns for how long slots are needed by all that waits, in milliseconds.
+    /// Returns the total slot time that the queued jobs need, in milliseconds.
     pub fn needed_ms(&self) -> u64 {
-        self.tiers.values().flat_map(Tier::lines).map(|line| line.slot_ms).sum()
+        self.tiers.values().flat_map(TierQueue::queues).map(|queue| queue.slot_ms).sum()
     }
 
-    /// Returns how many jobs wait.
+    /// Returns the number of queued jobs.
     pub fn len(&self) -> usize {
-        self.tiers.values().flat_map(Tier::lines).map(|line| line.jobs.len()).sum()
+        self.tiers.values().flat_map(TierQueue::queues).map(|queue| queue.jobs.len()).sum()
     }
 
-    /// Tells whether no job waits.
+    /// Returns whether no jobs are queued.
     pub fn is_empty(&self) -> bool {
-        self.tiers.values().flat_map(Tier::lines).all(|line| line.jobs.is_empty())
+        self.tiers.values().flat_map(TierQueue::queues).all(|queue| queue.jobs.is_empty())
     }
 }
--- a/crates/dispatch/tests/dispatch/budgets.rs
+++ b/crates/dispatch/tests/dispatch/budgets.rs
@@ -2,7 +2,7 @@
 
 use crate::replay::{document, job, record};
 use googletest::prelude::*;
-use lycheehub_dispatch::{Decision, Dispatcher, Job, Options, Reason, Ticket, Usage};
+use lycheehub_dispatch::{Decision, Dispatcher, Job, JobId, Options, Reason, Usage};
 use lycheehub_routes::Quota;
 
 const QUOTA: Quota =
@@ -10,8 +10,8 @@
 
 fn dispatcher(options: Options, quota: Quota) -> Dispatcher {
     let mut dispatcher = Dispatcher::new(options);
-    dispatcher.take_document(1, &document(Some(quota)));
-    dispatcher.take_endpoints(1, [record("a", 10_000)].iter());
+    dispatcher.set_document(1, &document(Some(quota)));
+    dispatcher.set_endpoints(1, [record("a", 10_000)].iter());
     dispatcher
 }
 
@@ -31,8 +31,9 @@
 /// Submits a job of the large account; tells whether it was placed, or why not and after how many
 /// milliseconds it is to come back.
 fn ask_in_full(dispatcher: &mut Dispatcher, now_ms: u64, number: u64) -> Result<(), (Reason, u64)> {
-    let ticket = Ticket { instance: 1, number };
-    let large = Job { ticket, account: Some("large".into()), told_tokens: Some(1_000), ..job(0) };
+    let job_id = JobId { instance: 1, number };
+    let large =
+        Job { job_id, account: Some("large".into()), declared_tokens: Some(1_000), ..job(0) };
     let large = Job { objective_left_ms: 6_000, patience_left_ms: 9_000, ..large };
     dispatcher.submit(now_ms, Job { prompt_tokens: 1, output_tokens: 0, ..large });
     match dispatcher.take_decisions().pop() {
@@ -115,7 +116,7 @@
     let mut dispatcher = dispatcher(Options::default(), QUOTA);
     largest_window(&mut dispatcher, 1_000, 10_000, 60);
     let lowered = Quota { units_per_s: 1_000.0, burst_units: 1_000.0, ..QUOTA };
-    dispatcher.take_document(11_000, &document(Some(lowered)));
+    dispatcher.set_document(11_000, &document(Some(lowered)));
     largest_window(&mut dispatcher, 11_000, 8_000, 60);
     expect_that!(largest_window(&mut dispatcher, 27_500, 10_000, 60), le(10));
 }
@@ -132,11 +133,11 @@
 fn an_account_that_the_leader_saw_near_its_quota_gets_little_without_it() {
     let mut leader = dispatcher(Options::default(), QUOTA);
     largest_window(&mut leader, 1_000, 8_000, 60);
-    let tight = leader.tight_accounts(9_000);
+    let tight = leader.accounts_near_quota(9_000);
     expect_that!(tight, elements_are![eq(&"large".into())]);
     let options = Options { budget_share: 0.125, ..Options::default() };
     let mut local = dispatcher(options, QUOTA);
-    local.set_tight_accounts(tight.into_iter().collect());
+    local.set_accounts_near_quota(tight.into_iter().collect());
     expect_that!(largest_window(&mut local, 9_000, 10_000, 60), le(3));
 }
 
@@ -144,14 +145,14 @@
 fn what_is_given_back_does_not_count_longer_than_what_was_taken() {
     let mut dispatcher = dispatcher(Options::default(), QUOTA);
     // Each request waits for half a second and is then withdrawn; others are let through meanwhile.
-    dispatcher.take_endpoints(1, [record("a", 1)].iter());
+    dispatcher.set_endpoints(1, [record("a", 1)].iter());
     for number in 0..40 {
         expect_that!(ask(&mut dispatcher, 1_000 + number, number), ok(()));
     }
     for number in 1..40 {
-        dispatcher.withdraw(5_000, Ticket { instance: 1, number });
+        dispatcher.withdraw(5_000, JobId { instance: 1, number });
     }
-    dispatcher.take_endpoints(5_001, [record("a", 10_000)].iter());
+    dispatcher.set_endpoints(5_001, [record("a", 10_000)].iter());
     // What was taken has run out of the window, and so has what was given back.
     expect_that!(largest_window(&mut dispatcher, 9_500, 7_900, 60), le(91));
 }
@@ -177,8 +178,9 @@
 
 /// Submits a job of a rank of the large account; tells whether it was let through.
 fn ask_of_rank(dispatcher: &mut Dispatcher, now_ms: u64, rank: u8, number: u64) -> bool {
-    let ticket = Ticket { instance: 1, number };
-    let large = Job { ticket, account: Some("large".into()), told_tokens: Some(1_000), ..job(0) };
+    let job_id = JobId { instance: 1, number };
+    let large =
+        Job { job_id, account: Some("large".into()), declared_tokens: Some(1_000), ..job(0) };
     let large = Job { objective_left_ms: 6_000, patience_left_ms: 9_000, rank, ..large };
     dispatcher.submit(now_ms, Job { prompt_tokens: 1, output_tokens: 0, ..large });
     !matches!(dispatcher.take_decisions().pop(), Some(Decision::Refuse { .. }))
--- a/crates/dispatch/tests/dispatch/health.rs
+++ b/crates/dispatch/tests/dispatch/health.rs
@@ -2,7 +2,7 @@
 
 use crate::replay::{dispatcher, finished, job, record};
 use googletest::prelude::*;
-use lycheehub_dispatch::{Decision, Dispatcher, Job, Outcome, Ticket};
+use lycheehub_dispatch::{Decision, Dispatcher, Job, JobId, Outcome};
 use std::collections::VecDeque;
 
 /// Submits a job and returns where it goes.
@@ -14,15 +14,15 @@
     })
 }
 
-fn ticket(number: u64) -> Ticket {
-    Ticket { instance: 1, number }
+fn job_id(number: u64) -> JobId {
+    JobId { instance: 1, number }
 }
 
 #[gtest]
 fn an_endpoint_that_cannot_be_reached_is_left_alone() {
     let mut dispatcher = dispatcher(&[record("a", 9), record("b", 9)]);
     let first = place(&mut dispatcher, 10, 1).unwrap();
-    dispatcher.finish(210, finished(ticket(1), Outcome::NotConnected));
+    dispatcher.finish(210, finished(job_id(1), Outcome::NotConnected));
     for number in 2..8 {
         expect_that!(place(&mut dispatcher, 220, number), some(not(eq(&first))));
     }
@@ -33,8 +33,8 @@
     let mut dispatcher = dispatcher(&[record("a", 9)]);
     place(&mut dispatcher, 10, 1);
     place(&mut dispatcher, 20, 2);
-    dispatcher.finish(60, finished(ticket(2), Outcome::Answered));
-    dispatcher.stalled(400, ticket(1));
+    dispatcher.finish(60, finished(job_id(2), Outcome::Answered));
+    dispatcher.report_stall(400, job_id(1));
     expect_that!(place(&mut dispatcher, 410, 3), some(eq("a")));
 }
 
@@ -48,7 +48,7 @@
         let is_bad = endpoint == "a" && number % 2 == 0;
         to_a += u32::from(endpoint == "a" && number >= 100);
         let outcome = if is_bad { Outcome::Failed } else { Outcome::Answered };
-        dispatcher.finish(now_ms + 10, finished(ticket(number), outcome));
+        dispatcher.finish(now_ms + 10, finished(job_id(number), outcome));
     }
     expect_that!(to_a, lt(30));
 }
@@ -61,7 +61,7 @@
         let now_ms = 1_000 + number * 20;
         placed += u32::from(place(&mut dispatcher, now_ms, number).is_some());
         let outcome = if number % 2 == 0 { Outcome::Failed } else { Outcome::Answered };
-        dispatcher.finish(now_ms + 10, finished(ticket(number), outcome));
+        dispatcher.finish(now_ms + 10, finished(job_id(number), outcome));
     }
     expect_that!(placed, eq(200));
 }
@@ -76,24 +76,24 @@
     for number in 0..2_000_u64 {
         let now_ms = 1_000 + number * 5;
         dispatcher.tick(now_ms);
-        let is_final = number % 2 == 0;
-        dispatcher.submit(now_ms, Job { is_final, ..job(number) });
+        let is_last_attempt = number % 2 == 0;
+        dispatcher.submit(now_ms, Job { is_last_attempt, ..job(number) });
         for decision in dispatcher.take_decisions() {
-            if let Decision::Place { ticket, endpoint, .. } = decision {
-                running.push_back((now_ms + 200, ticket, endpoint.to_string()));
+            if let Decision::Place { job_id, endpoint, .. } = decision {
+                running.push_back((now_ms + 200, job_id, endpoint.to_string()));
             }
         }
-        while let Some((ends_ms, ticket, endpoint)) = running.pop_front() {
+        while let Some((ends_ms, job_id, endpoint)) = running.pop_front() {
             if now_ms < ends_ms {
-                running.push_front((ends_ms, ticket, endpoint));
+                running.push_front((ends_ms, job_id, endpoint));
                 break;
             }
-            let is_failure = fails(&endpoint) && ticket.number % 3 == 0;
+            let is_failure = fails(&endpoint) && job_id.number % 3 == 0;
             if is_failure && number > 300 {
-                failed[usize::from(ticket.number % 2 == 0)] += 1;
+                failed[usize::from(job_id.number % 2 == 0)] += 1;
             }
             let outcome = if is_failure { Outcome::Broken } else { Outcome::Answered };
-            dispatcher.finish(now_ms, finished(ticket, outcome));
+            dispatcher.finish(now_ms, finished(job_id, outcome));
         }
     }
     failed
--- a/crates/dispatch/tests/dispatch/overload.rs
+++ b/crates/dispatch/tests/dispatch/overload.rs
@@ -2,7 +2,7 @@
 
 use crate::replay::{Class, End, Replay, dispatcher, job, record};
 use googletest::prelude::*;
-use lycheehub_dispatch::{Decision, Dispatcher, Job, Ticket};
+use lycheehub_dispatch::{Decision, Dispatcher, Job, JobId};
 use lycheehub_types::EndpointRecord;
 
 /// Three speeds, five to one.
@@ -117,10 +117,10 @@
     let mut order = vec![0];
     while order.len() <= jobs.len() {
         let number = *order.last().unwrap();
-        dispatcher.withdraw(1_002, Ticket { instance: 1, number });
+        dispatcher.withdraw(1_002, JobId { instance: 1, number });
         let decisions = dispatcher.take_decisions();
-        let [Decision::Place { ticket, .. }] = &decisions[..] else { panic!("{decisions:?}") };
-        order.push(ticket.number);
+        let [Decision::Place { job_id, .. }] = &decisions[..] else { panic!("{decisions:?}") };
+        order.push(job_id.number);
     }
     order.split_off(1)
 }
@@ -166,10 +166,10 @@
     let mut dispatcher = dispatcher(&[EndpointRecord { slots: 1, ..record("a", 1) }]);
     dispatcher.submit(1_000, job(1));
     for number in 2..6 {
-        let ticket = Ticket { instance: 1, number };
-        dispatcher.submit(1_000 + number, Job { ticket, ..others.clone() });
+        let job_id = JobId { instance: 1, number };
+        dispatcher.submit(1_000 + number, Job { job_id, ..others.clone() });
     }
-    let rest = Job { goes_on: true, repeat: true, patience_left_ms: 15_000, ..job(9) };
+    let rest = Job { resumes_stream: true, repeat: true, patience_left_ms: 15_000, ..job(9) };
     dispatcher.submit(1_010, rest);
     dispatcher.take_decisions();
     dispatcher
@@ -179,9 +179,9 @@
 fn the_rest_of_a_stream_goes_with_the_most_urgent_requests_of_its_tier() {
     let placed_next = |others: &Job| {
         let mut dispatcher = with_rest_of_a_stream(others);
-        dispatcher.withdraw(1_020, Ticket { instance: 1, number: 1 });
+        dispatcher.withdraw(1_020, JobId { instance: 1, number: 1 });
         dispatcher.take_decisions().iter().find_map(|decision| match decision {
-            Decision::Place { ticket, .. } => Some(ticket.number),
+            Decision::Place { job_id, .. } => Some(job_id.number),
             Decision::Refuse { .. } => None,
         })
     };
@@ -196,8 +196,8 @@
     for now_ms in (1_050..2_000).step_by(50) {
         dispatcher.tick(now_ms);
         for decision in dispatcher.take_decisions() {
-            if let Decision::Refuse { ticket, .. } = decision {
-                refused.push(ticket.number);
+            if let Decision::Refuse { job_id, .. } = decision {
+                refused.push(job_id.number);
             }
         }
     }
--- a/crates/dispatch/tests/dispatch/placement.rs
+++ b/crates/dispatch/tests/dispatch/placement.rs
@@ -3,7 +3,7 @@
 use crate::replay::{Class, End, Replay, dispatcher, document, finished, job, record};
 use googletest::prelude::*;
 use lycheehub_dispatch::{
-    Decision, Dispatcher, Finished, InFlight, Job, Options, Outcome, PrefixPart, Reason, Ticket,
+    Decision, Dispatcher, Finished, InFlight, Job, JobId, Options, Outcome, PrefixPart, Reason,
 };
 use std::collections::BTreeMap;
 
@@ -36,8 +36,8 @@
         dispatcher.submit(10, job(number));
     }
     expect_that!(placed(&mut dispatcher).len(), eq(3));
-    let ticket = Ticket { instance: 1, number: 0 };
-    dispatcher.finish(20, finished(ticket, Outcome::Answered));
+    let job_id = JobId { instance: 1, number: 0 };
+    dispatcher.finish(20, finished(job_id, Outcome::Answered));
     expect_that!(placed(&mut dispatcher).len(), eq(1));
 }
 
@@ -50,7 +50,7 @@
     dispatcher.submit(10, job(1));
     expect_that!(placed(&mut dispatcher), is_empty());
     dispatcher.forget_instance(20, 1);
-    dispatcher.submit(30, Job { ticket: Ticket { instance: 2, number: 1 }, ..job(1) });
+    dispatcher.submit(30, Job { job_id: JobId { instance: 2, number: 1 }, ..job(1) });
     expect_that!(placed(&mut dispatcher).len(), eq(1));
 }
 
@@ -59,7 +59,7 @@
     let mut dispatcher = dispatcher(&[record("a", 4), record("b", 4)]);
     let mut leaving = record("a", 4);
     leaving.leaving = true;
-    dispatcher.take_endpoints(5, [leaving, record("b", 4)].iter());
+    dispatcher.set_endpoints(5, [leaving, record("b", 4)].iter());
     for number in 0..4 {
         dispatcher.submit(10, job(number));
     }
@@ -76,7 +76,7 @@
     };
     dispatcher.submit(10, shared(2));
     let first = placed(&mut dispatcher);
-    dispatcher.finish(200, finished(Ticket { instance: 1, number: 2 }, Outcome::Answered));
+    dispatcher.finish(200, finished(JobId { instance: 1, number: 2 }, Outcome::Answered));
     for number in 3..6 {
         dispatcher.submit(1_000 * number, shared(number));
         expect_that!(placed(&mut dispatcher), eq(&first));
@@ -104,10 +104,10 @@
     let plain = |number| Job { prompt_tokens: 0, output_tokens: 0, ..job(number) };
     dispatcher.submit(1_000, plain(1));
     assert_eq!(placed(&mut dispatcher).len(), 1);
-    let ticket = Ticket { instance: 1, number: 1 };
+    let job_id = JobId { instance: 1, number: 1 };
     let outcome = Outcome::Answered;
     let first_byte_ms = Some(1);
-    dispatcher.finish(1_001, Finished { ticket, outcome, first_byte_ms, rest_ms: 0, events: 0 });
+    dispatcher.finish(1_001, Finished { job_id, outcome, first_byte_ms, rest_ms: 0, events: 0 });
     for number in 2..62 {
         dispatcher.submit(1_010, plain(number));
     }
@@ -134,34 +134,34 @@
 #[gtest]
 fn a_long_answer_is_not_refused_where_one_endpoint_can_end_it() {
     let mut dispatcher = dispatcher(&[record("fast", 1), record("slow", 1)]);
-    let ticket = |number| Ticket { instance: 1, number };
+    let job_id = |number| JobId { instance: 1, number };
     // It is learned that an event takes 10 ms at one and 100 ms at the other.
     for round in 0..40 {
         let now_ms = 1_000 + round * 10_000;
         for number in [2 * round, 2 * round + 1] {
-            dispatcher.submit(now_ms, Job { ticket: ticket(number), ..job(0) });
+            dispatcher.submit(now_ms, Job { job_id: job_id(number), ..job(0) });
         }
         for (decision, number) in dispatcher.take_decisions().iter().zip(2 * round..) {
             let Decision::Place { endpoint, .. } = decision else { panic!("not placed") };
             let rest_ms = if endpoint.as_str() == "fast" { 600 } else { 6_000 };
-            let finished = finished(ticket(number), Outcome::Answered);
+            let finished = finished(job_id(number), Outcome::Answered);
             dispatcher.finish(now_ms + 7_000, Finished { rest_ms, events: 60, ..finished });
         }
         dispatcher.tick(now_ms + 7_050);
     }
     let now_ms = 500_000;
     for number in 100..102 {
-        dispatcher.submit(now_ms, Job { ticket: ticket(number), ..job(0) });
+        dispatcher.submit(now_ms, Job { job_id: job_id(number), ..job(0) });
     }
     let placed_at = |decision: &Decision| match decision {
-        Decision::Place { ticket, endpoint, .. } => (endpoint.to_string(), *ticket),
-        Decision::Refuse { .. } => ("refused".to_owned(), ticket(0)),
+        Decision::Place { job_id, endpoint, .. } => (endpoint.to_string(), *job_id),
+        Decision::Refuse { .. } => ("refused".to_owned(), job_id(0)),
     };
-    let running: BTreeMap<String, Ticket> =
+    let running: BTreeMap<String, JobId> =
         dispatcher.take_decisions().iter().map(placed_at).collect();
     // A short one waits, and one of 300 events: 16.5 s at the mean endpoint, 3 s at the fast one.
-    dispatcher.submit(now_ms + 1, Job { ticket: ticket(102), output_tokens: 5, ..job(0) });
-    dispatcher.submit(now_ms + 2, Job { ticket: ticket(103), output_tokens: 1_500, ..job(0) });
+    dispatcher.submit(now_ms + 1, Job { job_id: job_id(102), output_tokens: 5, ..job(0) });
+    dispatcher.submit(now_ms + 2, Job { job_id: job_id(103), output_tokens: 1_500, ..job(0) });
     expect_that!(placed(&mut dispatcher), is_empty());
     dispatcher.finish(now_ms + 3, finished(running["slow"], Outcome::Answered));
     expect_that!(placed(&mut dispatcher), elements_are![eq("slow")]);
@@ -172,44 +172,44 @@
 #[gtest]
 fn what_waits_for_a_faster_engine_keeps_nobody_from_the_others() {
     let mut dispatcher = dispatcher(&[record("fast", 1), record("slow", 9)]);
-    let ticket = |number| Ticket { instance: 1, number };
+    let job_id = |number| JobId { instance: 1, number };
     // It is learned how fast they are: the second of two goes to the slow one.
     for round in 0..40 {
         let now_ms = 1_000 + round * 1_000;
         for number in [2 * round, 2 * round + 1] {
-            let ticket = ticket(number);
-            dispatcher.submit(now_ms, Job { ticket, prompt_tokens: 5_000, ..job(0) });
+            let job_id = job_id(number);
+            dispatcher.submit(now_ms, Job { job_id, prompt_tokens: 5_000, ..job(0) });
         }
         expect_that!(placed(&mut dispatcher).len(), eq(2));
         for (number, first_byte_ms) in [(2 * round, 30), (2 * round + 1, 150)] {
-            let (ticket, first_byte_ms) = (ticket(number), Some(first_byte_ms));
+            let (job_id, first_byte_ms) = (job_id(number), Some(first_byte_ms));
             let outcome = Outcome::Answered;
-            let finished = Finished { ticket, outcome, first_byte_ms, rest_ms: 100, events: 5 };
+            let finished = Finished { job_id, outcome, first_byte_ms, rest_ms: 100, events: 5 };
             dispatcher.finish(now_ms + 90, finished);
         }
     }
     let now_ms = 50_000;
-    dispatcher.submit(now_ms, Job { ticket: ticket(100), prompt_tokens: 100, ..job(0) });
+    dispatcher.submit(now_ms, Job { job_id: job_id(100), prompt_tokens: 100, ..job(0) });
     expect_that!(placed(&mut dispatcher), elements_are![eq("fast")]);
     // On time at the fast engine only, of which the slot is taken.
     for number in 200..220 {
-        let ticket = ticket(number);
-        let long = Job { ticket, prompt_tokens: 35_000, objective_left_ms: 900, ..job(0) };
+        let job_id = job_id(number);
+        let long = Job { job_id, prompt_tokens: 35_000, objective_left_ms: 900, ..job(0) };
         dispatcher.submit(now_ms, long);
     }
     expect_that!(placed(&mut dispatcher), is_empty());
-    let other = Job { ticket: ticket(300), rank: 2, ..job(0) };
+    let other = Job { job_id: job_id(300), rank: 2, ..job(0) };
     dispatcher.submit(now_ms + 1, other);
     dispatcher.tick(now_ms + 2);
     dispatcher.tick(now_ms + 3);
     expect_that!(placed(&mut dispatcher), elements_are![eq("slow")]);
     // The slot that they wait for is theirs, also where others have come meanwhile.
-    dispatcher.submit(now_ms + 4, Job { ticket: ticket(301), rank: 2, ..job(0) });
+    dispatcher.submit(now_ms + 4, Job { job_id: job_id(301), rank: 2, ..job(0) });
     expect_that!(placed(&mut dispatcher), elements_are![eq("slow")]);
-    dispatcher.finish(now_ms + 5, finished(ticket(100), Outcome::Answered));
+    dispatcher.finish(now_ms + 5, finished(job_id(100), Outcome::Answered));
     let decisions = dispatcher.take_decisions();
     let is_long = |decision: &Decision| match decision {
-        Decision::Place { ticket, .. } => (200..220).contains(&ticket.number),
+        Decision::Place { job_id, .. } => (200..220).contains(&job_id.number),
         Decision::Refuse { .. } => false,
     };
     expect_that!(decisions.iter().map(is_long).collect::<Vec<_>>(), elements_are![eq(&true)]);
@@ -218,15 +218,15 @@
 #[gtest]
 fn what_comes_before_its_endpoints_are_heard_waits_for_them() {
     let mut dispatcher = Dispatcher::new(Options::default());
-    dispatcher.take_document(1_000, &document(None));
-    dispatcher.take_endpoints(1_000, [].iter());
+    dispatcher.set_document(1_000, &document(None));
+    dispatcher.set_endpoints(1_000, [].iter());
     let short = Job { objective_left_ms: 100, patience_left_ms: 900, ..job(1) };
     dispatcher.submit(1_050, Job { deadline_left_ms: 900, output_tokens: 0, ..short });
     for now_ms in (1_050..1_600).step_by(50) {
         dispatcher.tick(now_ms);
         expect_that!(dispatcher.take_decisions(), is_empty(), "{now_ms}");
     }
-    dispatcher.take_endpoints(1_600, [record("a", 9)].iter());
+    dispatcher.set_endpoints(1_600, [record("a", 9)].iter());
     let decisions = dispatcher.take_decisions();
     expect_that!(decisions, elements_are![matches_pattern!(Decision::Place { .. })]);
 }
@@ -234,8 +234,8 @@
 #[gtest]
 fn what_waits_for_endpoints_in_vain_is_told_so_before_its_caller_leaves() {
     let mut dispatcher = Dispatcher::new(Options::default());
-    dispatcher.take_document(1_000, &document(None));
-    dispatcher.take_endpoints(1_000, [].iter());
+    dispatcher.set_document(1_000, &document(None));
+    dispatcher.set_endpoints(1_000, [].iter());
     dispatcher.submit(1_050, Job { patience_left_ms: 1_000, ..job(1) });
     let mut refused_ms = None;
     for now_ms in (1_050..3_000).step_by(50) {
--- a/crates/dispatch/tests/dispatch/replay.rs
+++ b/crates/dispatch/tests/dispatch/replay.rs
@@ -2,7 +2,7 @@
 //! but by a seed.
 
 use lycheehub_dispatch::{
-    Decision, Dispatcher, Finished, Job, Options, Outcome, PrefixPart, Reason, Ticket,
+    Decision, Dispatcher, Finished, Job, JobId, Options, Outcome, PrefixPart, Reason,
 };
 use lycheehub_routes::{AccountSpec, Document, EngineSpec, Quota, ServiceSpec};
 use lycheehub_types::{EndpointKind, EndpointLoad, EndpointRecord};
@@ -51,12 +51,12 @@
 
 pub fn job(number: u64) -> Job {
     Job {
-        ticket: Ticket { instance: 1, number },
+        job_id: JobId { instance: 1, number },
         service: "writer".into(),
         tier: 1,
         rank: 1,
         account: None,
-        told_tokens: None,
+        declared_tokens: None,
         prompt_tokens: 600,
         output_tokens: 300,
         prefix: Vec::<PrefixPart>::new(),
@@ -64,8 +64,8 @@
         patience_left_ms: 2_000,
         deadline_left_ms: 15_000,
         returning: false,
-        goes_on: false,
-        is_final: false,
+        resumes_stream: false,
+        is_last_attempt: false,
         failure_domain: "salto".into(),
         tried: vec![],
         repeat: false,
@@ -74,13 +74,13 @@
 
 pub fn dispatcher(endpoints: &[EndpointRecord]) -> Dispatcher {
     let mut dispatcher = Dispatcher::new(Options::default());
-    dispatcher.take_document(1, &document(None));
-    dispatcher.take_endpoints(1, endpoints.iter());
+    dispatcher.set_document(1, &document(None));
+    dispatcher.set_endpoints(1, endpoints.iter());
     dispatcher
 }
 
-pub fn finished(ticket: Ticket, outcome: Outcome) -> Finished {
-    Finished { ticket, outcome, first_byte_ms: Some(20), rest_ms: 100, events: 5 }
+pub fn finished(job_id: JobId, outcome: Outcome) -> Finished {
+    Finished { job_id, outcome, first_byte_ms: Some(20), rest_ms: 100, events: 5 }
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
@@ -102,7 +102,7 @@
     speed: f64,
     slots: usize,
     running: usize,
-    queue: Vec<(Ticket, u32, u32)>,
+    queue: Vec<(JobId, u32, u32)>,
     prefill_until_ms: f64,
 }
 
@@ -132,9 +132,9 @@
 pub struct Replay {
     pub dispatcher: Dispatcher,
     engines: BTreeMap<String, Engine>,
-    asked: BTreeMap<Ticket, Asked>,
+    asked: BTreeMap<JobId, Asked>,
     /// What happens when, by millisecond.
-    events: BTreeMap<u64, Vec<(Ticket, String, Event, u32)>>,
+    events: BTreeMap<u64, Vec<(JobId, String, Event, u32)>>,
     returns: BTreeMap<u64, Vec<(Job, usize)>>,
     /// Ends by second of arrival and class.
     pub ends: BTreeMap<(u64, usize), BTreeMap<End, u32>>,
@@ -181,7 +181,7 @@
     pub fn set_endpoints(&mut self, places: impl Iterator<Item = usize>) {
         let records: Vec<EndpointRecord> =
             places.map(|place| record(&format!("e{place}"), 9)).collect();
-        self.dispatcher.take_endpoints(self.now_ms, records.iter());
+        self.dispatcher.set_endpoints(self.now_ms, records.iter());
     }
 
     /// Lets requests come for `for_ms`, each class `x` times as many as it tells.
@@ -196,13 +196,13 @@
             for (job, class) in self.returns.remove(&self.now_ms).unwrap_or_default() {
                 self.ask(job, class, 1);
             }
-            for (ticket, engine, event, first_ms) in
+            for (job_id, engine, event, first_ms) in
                 self.events.remove(&self.now_ms).unwrap_or_default()
             {
                 match event {
-                    Event::First => self.first(ticket),
-                    Event::End => self.end(ticket, &engine, first_ms, Outcome::Answered),
-                    Event::Cut => self.end(ticket, &engine, first_ms, Outcome::Abandoned),
+                    Event::First => self.first(job_id),
+                    Event::End => self.end(job_id, &engine, first_ms, Outcome::Answered),
+                    Event::Cut => self.end(job_id, &engine, first_ms, Outcome::Abandoned),
                 }
             }
             if self.now_ms.is_multiple_of(50) {
@@ -214,9 +214,9 @@
 
     fn ask(&mut self, job: Job, class: usize, returned: u64) {
         self.number += 1;
-        let ticket = Ticket { instance: 1, number: self.number };
-        let job = Job { ticket, returning: returned > 0, ..job };
-        self.asked.insert(ticket, Asked { job: job.clone(), since_ms: self.now_ms, class });
+        let job_id = JobId { instance: 1, number: self.number };
+        let job = Job { job_id, returning: returned > 0, ..job };
+        self.asked.insert(job_id, Asked { job: job.clone(), since_ms: self.now_ms, class });
         self.dispatcher.submit(self.now_ms, job);
     }
 
@@ -227,16 +227,16 @@
     fn carry_out(&mut self) {
         for decision in self.dispatcher.take_decisions() {
             match decision {
-                Decision::Place { ticket, endpoint, .. } => self.send(ticket, endpoint.as_str()),
-                Decision::Refuse { ticket, reason, retry_after_ms } => {
-                    self.refused(ticket, reason, retry_after_ms);
+                Decision::Place { job_id, endpoint, .. } => self.send(job_id, endpoint.as_str()),
+                Decision::Refuse { job_id, reason, retry_after_ms } => {
+                    self.refused(job_id, reason, retry_after_ms);
                 }
             }
         }
     }
 
-    fn refused(&mut self, ticket: Ticket, reason: Reason, retry_after_ms: u64) {
-        let asked = self.asked.remove(&ticket).unwrap();
+    fn refused(&mut self, job_id: JobId, reason: Reason, retry_after_ms: u64) {
+        let asked = self.asked.remove(&job_id).unwrap();
         let held_ms = self.now_ms - asked.since_ms;
         self.longest_hold_ms = self.longest_hold_ms.max(held_ms);
         let held_part = held_ms as f64 / asked.job.patience_left_ms as f64;
@@ -254,36 +254,36 @@
         }
     }
 
-    fn send(&mut self, ticket: Ticket, name: &str) {
-        let job = &self.asked[&ticket].job;
+    fn send(&mut self, job_id: JobId, name: &str) {
+        let job = &self.asked[&job_id].job;
         let engine = self.engines.get_mut(name).unwrap();
-        engine.queue.push((ticket, job.prompt_tokens, job.output_tokens / TOKENS_PER_EVENT));
+        engine.queue.push((job_id, job.prompt_tokens, job.output_tokens / TOKENS_PER_EVENT));
         self.admit(name);
     }
 
     fn admit(&mut self, name: &str) {
         let engine = self.engines.get_mut(name).unwrap();
         while engine.running < engine.slots && !engine.queue.is_empty() {
-            let (ticket, prompt, events) = engine.queue.remove(0);
+            let (job_id, prompt, events) = engine.queue.remove(0);
             engine.running += 1;
             let begins_ms = engine.prefill_until_ms.max(self.now_ms as f64);
             let first_ms = begins_ms + f64::from(prompt) * PREFILL_MS / engine.speed;
             engine.prefill_until_ms = first_ms;
             let ends_ms = first_ms + f64::from(events) * EVENT_MS / engine.speed;
             let took_ms = (first_ms - self.now_ms as f64) as u32;
-            let asked = &self.asked[&ticket];
+            let asked = &self.asked[&job_id];
             let deadline_ms = (asked.since_ms + asked.job.deadline_left_ms) as f64;
             let at = |ms: f64| (ms as u64).max(self.now_ms + 1);
-            let first = (ticket, name.to_owned(), Event::First, took_ms);
+            let first = (job_id, name.to_owned(), Event::First, took_ms);
             self.events.entry(at(first_ms)).or_default().push(first);
             let event = if ends_ms > deadline_ms { Event::Cut } else { Event::End };
-            let end = (ticket, name.to_owned(), event, took_ms);
+            let end = (job_id, name.to_owned(), event, took_ms);
             self.events.entry(at(ends_ms.min(deadline_ms)) + 1).or_default().push(end);
         }
     }
 
-    fn first(&mut self, ticket: Ticket) {
-        let asked = &self.asked[&ticket];
+    fn first(&mut self, job_id: JobId) {
+        let asked = &self.asked[&job_id];
         let (class, since_ms) = (asked.class, asked.since_ms);
         let took_ms = self.now_ms - since_ms;
         let end = match took_ms {
@@ -294,8 +294,8 @@
         self.note(class, since_ms, end);
     }
 
-    fn end(&mut self, ticket: Ticket, name: &str, first_ms: u32, outcome: Outcome) {
-        let asked = self.asked.remove(&ticket).unwrap();
+    fn end(&mut self, job_id: JobId, name: &str, first_ms: u32, outcome: Outcome) {
+        let asked = self.asked.remove(&job_id).unwrap();
         self.engines.get_mut(name).unwrap().running -= 1;
         let mut events = asked.job.output_tokens / TOKENS_PER_EVENT;
         let mut rest_ms = f64::from(events) * EVENT_MS / self.engines[name].speed;
@@ -306,7 +306,7 @@
             rest_ms = had_ms;
         }
         let finished = Finished {
-            ticket,
+            job_id,
             outcome,
             first_byte_ms: Some(first_ms + 2),
             rest_ms: rest_ms as u32,
--- a/crates/dispatch/tests/dispatch/share.rs
+++ b/crates/dispatch/tests/dispatch/share.rs
@@ -2,7 +2,7 @@
 
 use crate::replay::{document, job, record};
 use googletest::prelude::*;
-use lycheehub_dispatch::{Decision, Dispatcher, Job, Options, Ticket};
+use lycheehub_dispatch::{Decision, Dispatcher, Job, JobId, Options};
 use std::collections::BTreeMap;
 
 /// Lets each of so many dispatchers place all that it can; returns how much each endpoint got.
@@ -15,11 +15,11 @@
 
         let options = Options { slot_share: share, slot_salt, ..Options::default() };
         let mut dispatcher = Dispatcher::new(options);
-        dispatcher.take_document(1, &document(None));
-        dispatcher.take_endpoints(1, records.iter());
+        dispatcher.set_document(1, &document(None));
+        dispatcher.set_endpoints(1, records.iter());
         for number in 0..500 {
-            let ticket = Ticket { instance, number };
-            dispatcher.submit(1_000, Job { ticket, ..job(0) });
+            let job_id = JobId { instance, number };
+            dispatcher.submit(1_000, Job { job_id, ..job(0) });
         }
         for decision in dispatcher.take_decisions() {
             if let Decision::Place { endpoint, .. } = decision {
@@ -50,11 +50,11 @@
     let mut plain = document(None);
     plain.services[0].engine = None;
     let mut dispatcher = Dispatcher::new(Options::default());
-    dispatcher.take_document(1, &plain);
-    dispatcher.take_endpoints(1, [record("i", 6)].iter());
+    dispatcher.set_document(1, &plain);
+    dispatcher.set_endpoints(1, [record("i", 6)].iter());
     for number in 0..40 {
-        let ticket = Ticket { instance: 1, number };
-        dispatcher.submit(1_000, Job { ticket, output_tokens: 0, ..job(0) });
+        let job_id = JobId { instance: 1, number };
+        dispatcher.submit(1_000, Job { job_id, output_tokens: 0, ..job(0) });
     }
     let placed = dispatcher.take_decisions().into_iter();
     expect_that!(placed.filter(|it| matches!(it, Decision::Place { .. })).count(), eq(8));
--- a/crates/dispatch/tests/dispatch/versions.rs
+++ b/crates/dispatch/tests/dispatch/versions.rs
@@ -2,7 +2,7 @@
 
 use crate::replay::{dispatcher, finished, job, record};
 use googletest::prelude::*;
-use lycheehub_dispatch::{Decision, Dispatcher, Job, Outcome, Ticket, VersionMode, VersionRule};
+use lycheehub_dispatch::{Decision, Dispatcher, Job, JobId, Outcome, VersionMode, VersionRule};
 use lycheehub_types::EndpointRecord;
 use std::collections::BTreeMap;
 
@@ -19,12 +19,12 @@
 fn placed_new(dispatcher: &mut Dispatcher, count: u64) -> usize {
     let mut new = 0;
     for number in 1..=count {
-        let ticket = Ticket { instance: 1, number };
-        dispatcher.submit(1_000 + number, Job { ticket, ..job(0) });
+        let job_id = JobId { instance: 1, number };
+        dispatcher.submit(1_000 + number, Job { job_id, ..job(0) });
         for decision in dispatcher.take_decisions() {
             let Decision::Place { endpoint, .. } = decision else { continue };
             new += usize::from(endpoint.as_str() == "new");
-            dispatcher.finish(1_000 + number, finished(ticket, Outcome::Answered));
+            dispatcher.finish(1_000 + number, finished(job_id, Outcome::Answered));
         }
     }
     new
@@ -49,8 +49,8 @@
 fn a_full_new_version_leaves_requests_to_the_old_one() {
     let mut dispatcher = divided(split(1.0));
     for number in 1..=250 {
-        let ticket = Ticket { instance: 1, number };
-        let short = Job { prompt_tokens: 1, output_tokens: 5, ticket, ..job(0) };
+        let job_id = JobId { instance: 1, number };
+        let short = Job { prompt_tokens: 1, output_tokens: 5, job_id, ..job(0) };
         dispatcher.submit(1_000, short);
     }
     let decisions = dispatcher.take_decisions();
@@ -74,7 +74,7 @@
     let mut dispatcher = divided(mode);
     expect_that!(placed_new(&mut dispatcher, 300), eq(300));
     let later = EndpointRecord { version: "v3".into(), incarnation: 200, ..record("later", 9) };
-    dispatcher.take_endpoints(9_000, [later].iter());
+    dispatcher.set_endpoints(9_000, [later].iter());
     dispatcher.submit(9_001, job(7_000));
     let decision = dispatcher.take_decisions().pop();
     expect_that!(decision, some(matches_pattern!(Decision::Place { .. })));
--- a/crates/peer/src/entry/placement.rs
+++ b/crates/peer/src/entry/placement.rs
@@ -13,9 +13,9 @@
 use capnp::capability::{FromTypelessPipeline, Request};
 use capnp::traits::{Owned, Pipelined};
 use lycheehub_clock::Clock;
-use lycheehub_dispatch::placement::Deciding;
+use lycheehub_dispatch::placement::DecisionFuture;
 use lycheehub_dispatch::{
-    Decision, Dispatcher, Finished, InFlight, Job, Notice, Options, Placement, Ticket, Usage,
+    Decision, Dispatcher, Finished, InFlight, Job, JobId, Notice, Options, Placement, Usage,
 };
 use lycheehub_types::{AccountName, EndpointName, InstanceName, PeerError};
 use lycheehub_wire::peer_capnp::{peer, placement};
@@ -123,10 +123,10 @@
         {
             let mut local = self.local.borrow_mut();
             if document_changed {
-                local.take_document(now_ms, view.table.document());
+                local.set_document(now_ms, view.table.document());
             }
             local.set_version_rules(version_rules(&view.rollouts, Sight::Part));
-            local.take_endpoints(now_ms, view.endpoints.iter());
+            local.set_endpoints(now_ms, view.endpoints.iter());
         }
         self.deliver_local();
     }
@@ -186,7 +186,7 @@
             let answer = if moved { None } else { self.ask_alive(&session).await };
             let Some((instances, tight)) = answer else { break };
             self.note_instances(instances);
-            self.local.borrow_mut().set_tight_accounts(tight);
+            self.local.borrow_mut().set_accounts_near_quota(tight);
         }
         spdlog::warn!("leader lost: requests are placed here", kv: { leader: = session.leader });
         self.session.borrow_mut().take();
@@ -234,7 +234,7 @@
             let mut request = session.client.place_request();
             write_job(job, request.get().init_job());
             let reply = request.send().promise.await?;
-            Ok::<Decision, capnp::Error>(read_decision(job.ticket, reply.get()?.get_decision()?)?)
+            Ok::<Decision, capnp::Error>(read_decision(job.job_id, reply.get()?.get_decision()?)?)
         };
         let ended = async {
             // Nothing is ever sent: the channel closes when the leader is given up.
@@ -254,7 +254,7 @@
     /// Asks the own dispatcher; nothing where the request is handed over to a leader meanwhile.
     async fn place_here(&self, job: Job) -> Option<Decision> {
         let (sender, receiver) = bounded(1);
-        self.deciding.borrow_mut().insert(job.ticket.number, sender);
+        self.deciding.borrow_mut().insert(job.job_id.number, sender);
         self.local.borrow_mut().submit(self.clock.now_ms(), job);
         self.deliver_local();
         receiver.recv().await.ok()
@@ -274,7 +274,7 @@
         let now_ms = self.clock.now_ms();
         let mut local = self.local.borrow_mut();
         for number in waiting.keys() {
-            local.withdraw(now_ms, Ticket { instance: OWN_NUMBER, number: *number });
+            local.withdraw(now_ms, JobId { instance: OWN_NUMBER, number: *number });
         }
         if !waiting.is_empty() {
             let count = waiting.len() as u64;
@@ -302,14 +302,14 @@
     /// Load pattern: a leader has just begun, or decided before the endpoint's word reached it.
     fn goes_astray(&self, decision: &Decision) -> Option<EndpointName> {
         let Decision::Place { endpoint, .. } = decision else { return None };
-        self.is_barred(endpoint).then(|| endpoint.clone())
+        self.is_excluded(endpoint).then(|| endpoint.clone())
     }
 
     fn deliver_local(&self) {
         let decisions = self.local.borrow_mut().take_decisions();
         for decision in decisions {
-            let (Decision::Place { ticket, .. } | Decision::Refuse { ticket, .. }) = &decision;
-            if let Some(sender) = self.deciding.borrow_mut().remove(&ticket.number) {
+            let (Decision::Place { job_id, .. } | Decision::Refuse { job_id, .. }) = &decision;
+            if let Some(sender) = self.deciding.borrow_mut().remove(&job_id.number) {
                 // One that no longer waits has withdrawn.
                 let _ = sender.try_send(decision);
             }
@@ -331,7 +331,7 @@
         let Decision::Place { endpoint, .. } = decision else { return };
         let memory_tokens = u64::from(job.prompt_tokens) + u64::from(job.output_tokens);
         let in_flight = InFlight {
-            number: job.ticket.number,
+            number: job.job_id.number,
             endpoint: endpoint.clone(),
             memory_tokens,
             is_stream: job.output_tokens > 0,
@@ -340,10 +340,10 @@
             let own = std::slice::from_ref(&in_flight);
             let now_ms = self.clock.now_ms();
             let mut local = self.local.borrow_mut();
-            local.adopt(now_ms, job.ticket.instance, own);
-            local.note_use(now_ms, job);
+            local.adopt(now_ms, job.job_id.instance, own);
+            local.record_usage(now_ms, job);
         }
-        self.placed.borrow_mut().insert(job.ticket.number, in_flight);
+        self.placed.borrow_mut().insert(job.job_id.number, in_flight);
     }
 
     /// Sends a word to the leader, if there is one, without waiting for its answer.
@@ -366,13 +366,13 @@
 }
 
 impl Placement for LeaderPlacement {
-    fn ticket(&self) -> Ticket {
+    fn next_job_id(&self) -> JobId {
         let number = self.last_number.get() + 1;
         self.last_number.set(number);
-        Ticket { instance: OWN_NUMBER, number }
+        JobId { instance: OWN_NUMBER, number }
     }
 
-    fn place(&self, mut job: Job) -> Deciding<'_> {
+    fn place(&self, mut job: Job) -> DecisionFuture<'_> {
         Box::pin(async move {
             let asked_ms = self.clock.now_ms();
             loop {
@@ -383,7 +383,7 @@
                 {
                     if let Some(endpoint) = self.goes_astray(&decision) {
                         spdlog::info!("endpoint not used: it wants nothing", kv: { endpoint: });
-                        self.withdraw(job.ticket);
+                        self.withdraw(job.job_id);
                         self.tell_notices(|name| *name == endpoint);
                         job.tried.push(endpoint);
                         continue;
@@ -406,7 +406,7 @@
 
     fn finish(&self, finished: Finished) {
         self.notice_pause();
-        self.placed.borrow_mut().remove(&finished.ticket.number);
+        self.placed.borrow_mut().remove(&finished.job_id.number);
         self.local.borrow_mut().finish(self.clock.now_ms(), finished);
         self.deliver_local();
         self.tell(|client| {
@@ -416,33 +416,33 @@
         });
     }
 
-    fn stalled(&self, ticket: Ticket) {
-        self.local.borrow_mut().stalled(self.clock.now_ms(), ticket);
+    fn report_stall(&self, job_id: JobId) {
+        self.local.borrow_mut().report_stall(self.clock.now_ms(), job_id);
         self.tell(|client| {
             let mut request = client.stalled_request();
-            request.get().set_number(ticket.number);
+            request.get().set_number(job_id.number);
             request
         });
     }
 
-    fn heed(&self, endpoint: &EndpointName, notice: Notice) {
+    fn record_notice(&self, endpoint: &EndpointName, notice: Notice) {
         let now_ms = self.clock.now_ms();
-        self.local.borrow_mut().heed(now_ms, OWN_NUMBER, (endpoint, None), notice);
+        self.local.borrow_mut().record_notice(now_ms, OWN_NUMBER, (endpoint, None), notice);
         self.tell_notices(|name| name == endpoint);
     }
 
-    fn is_barred(&self, endpoint: &EndpointName) -> bool {
-        self.local.borrow().is_barred(self.clock.now_ms(), OWN_NUMBER, endpoint)
+    fn is_excluded(&self, endpoint: &EndpointName) -> bool {
+        self.local.borrow().is_excluded(self.clock.now_ms(), OWN_NUMBER, endpoint)
     }
 
-    fn withdraw(&self, ticket: Ticket) {
-        self.deciding.borrow_mut().remove(&ticket.number);
-        self.placed.borrow_mut().remove(&ticket.number);
-        self.local.borrow_mut().withdraw(self.clock.now_ms(), ticket);
+    fn withdraw(&self, job_id: JobId) {
+        self.deciding.borrow_mut().remove(&job_id.number);
+        self.placed.borrow_mut().remove(&job_id.number);
+        self.local.borrow_mut().withdraw(self.clock.now_ms(), job_id);
         self.deliver_local();
         self.tell(|client| {
             let mut request = client.withdraw_request();
-            request.get().set_number(ticket.number);
+            request.get().set_number(job_id.number);
             request
         });
     }
--- a/crates/peer/src/node/placing.rs
+++ b/crates/peer/src/node/placing.rs
@@ -3,7 +3,7 @@
 use super::Node;
 use crate::rollouts::{Sight, version_rules};
 use lycheehub_control::moves::Rollouts;
-use lycheehub_dispatch::{Decision, Dispatcher, Finished, InFlight, Job, Ticket, Usage};
+use lycheehub_dispatch::{Decision, Dispatcher, Finished, InFlight, Job, JobId, Usage};
 use lycheehub_types::{AccountName, InstanceName};
 use smol::channel::{Sender, bounded};
 use std::collections::BTreeMap;
@@ -35,7 +35,7 @@
 /// The dispatcher with those that wait for it.
 pub(super) struct Placing {
     pub(super) dispatcher: Dispatcher,
-    deciding: BTreeMap<Ticket, Sender<Decision>>,
+    deciding: BTreeMap<JobId, Sender<Decision>>,
     sessions: BTreeMap<u32, Session>,
     /// The numbers of all instances that ever entered.
     numbers: BTreeMap<InstanceName, u32>,
@@ -50,8 +50,8 @@
 impl Placing {
     fn deliver(&mut self) {
         for decision in self.dispatcher.take_decisions() {
-            let (Decision::Place { ticket, .. } | Decision::Refuse { ticket, .. }) = &decision;
-            if let Some(sender) = self.deciding.remove(ticket) {
+            let (Decision::Place { job_id, .. } | Decision::Refuse { job_id, .. }) = &decision;
+            if let Some(sender) = self.deciding.remove(job_id) {
                 // One that no longer waits has withdrawn, or its instance is gone.
                 let _ = sender.try_send(decision);
             }
@@ -96,7 +96,7 @@
         let Some(gone) = self.sessions.remove(&session) else { return };
         spdlog::info!("instance left", kv: { instance: = gone.instance, session });
         self.dispatcher.forget_instance(now_ms, session);
-        self.deciding.retain(|ticket, _| ticket.instance != session);
+        self.deciding.retain(|job_id, _| job_id.instance != session);
         self.deliver();
     }
 }
@@ -156,11 +156,11 @@
         let record = &core.state.document;
         if record.revision != placing.document_revision {
             placing.document_revision = record.revision;
-            placing.dispatcher.take_document(now_ms, &record.document);
+            placing.dispatcher.set_document(now_ms, &record.document);
         }
         let rules = version_rules(&core.state.rollouts, Sight::Whole);
         placing.dispatcher.set_version_rules(rules);
-        placing.dispatcher.take_endpoints(now_ms, core.directory.live());
+        placing.dispatcher.set_endpoints(now_ms, core.directory.live());
         placing.deliver();
     }
 
@@ -202,7 +202,7 @@
             let placing = placing.as_mut()?;
             placing.session(session)?.heard_ms = now_ms;
             let (sender, receiver) = bounded(1);
-            placing.deciding.insert(job.ticket, sender);
+            placing.deciding.insert(job.job_id, sender);
             placing.dispatcher.submit(now_ms, job);
             placing.deliver();
             receiver
@@ -239,17 +239,17 @@
         let now_ms = self.clock.now_ms();
         let mut placing = self.placing.borrow_mut();
         let placing = placing.as_mut();
-        placing.map_or_else(Vec::new, |placing| placing.dispatcher.tight_accounts(now_ms))
+        placing.map_or_else(Vec::new, |placing| placing.dispatcher.accounts_near_quota(now_ms))
     }
 
     /// Takes the news that the caller of a request that waits has left.
     pub(crate) fn withdraw_job(&self, session: SessionKey, number: u64) -> Option<u32> {
-        let ticket = Ticket { instance: session.instance, number };
+        let job_id = JobId { instance: session.instance, number };
         let instances = self.with_dispatcher(session, |dispatcher, now_ms| {
-            dispatcher.withdraw(now_ms, ticket);
+            dispatcher.withdraw(now_ms, job_id);
         });
         if let Some(placing) = self.placing.borrow_mut().as_mut() {
-            placing.deciding.remove(&ticket);
+            placing.deciding.remove(&job_id);
         }
         instances
     }
--- a/crates/peer/src/server.rs
+++ b/crates/peer/src/server.rs
@@ -10,7 +10,7 @@
 use lycheehub_consensus::{Message, ReplicaId};
 use lycheehub_control::directory::Heard;
 use lycheehub_control::registry::Delta;
-use lycheehub_dispatch::Ticket;
+use lycheehub_dispatch::JobId;
 use lycheehub_types::{EndpointName, InstanceName};
 use lycheehub_wire::peer_capnp::placement;
 use lycheehub_wire::peer_capnp::{greeter, peer};
@@ -294,9 +294,9 @@
         params: placement::StalledParams,
         _: placement::StalledResults,
     ) -> Result<(), capnp::Error> {
-        let ticket = Ticket { instance: self.session.instance, number: params.get()?.get_number() };
+        let job_id = JobId { instance: self.session.instance, number: params.get()?.get_number() };
         self.node.with_dispatcher(self.session, |dispatcher, now_ms| {
-            dispatcher.stalled(now_ms, ticket);
+            dispatcher.report_stall(now_ms, job_id);
         });
         Ok(())
     }
@@ -320,7 +320,7 @@
         let (notice, incarnation) = lycheehub_wire::read_notice(params);
         let instance = self.session.instance;
         self.node.with_dispatcher(self.session, |dispatcher, now_ms| {
-            dispatcher.heed(now_ms, instance, (&endpoint, incarnation), notice);
+            dispatcher.record_notice(now_ms, instance, (&endpoint, incarnation), notice);
         });
         Ok(())
     }
--- a/crates/proxy/src/exchange/attempt.rs
+++ b/crates/proxy/src/exchange/attempt.rs
@@ -9,7 +9,7 @@
 use crate::entry::Entry;
 use crate::http1::{Body, Connection, Error, ResponseHead};
 use crate::pool;
-use lycheehub_dispatch::{Finished, Notice, Outcome, Ticket};
+use lycheehub_dispatch::{Finished, JobId, Notice, Outcome};
 use lycheehub_types::EndpointName;
 use smol::Timer;
 use std::cell::Cell;
@@ -54,7 +54,7 @@
 /// An attempt under way; reported as abandoned where it is dropped.
 pub(super) struct Attempt {
     entry: Rc<Entry>,
-    ticket: Ticket,
+    job_id: JobId,
     pub(super) endpoint: EndpointName,
     pub(super) sent_ms: u64,
     pub(super) first_byte_ms: Cell<Option<u64>>,
@@ -69,7 +69,7 @@
     fn new(entry: &Rc<Entry>, placed: &Placed) -> Self {
         Self {
             entry: entry.clone(),
-            ticket: placed.ticket,
+            job_id: placed.job_id,
             endpoint: placed.endpoint.clone(),
             sent_ms: entry.clock.now_ms(),
             first_byte_ms: Cell::new(None),
@@ -106,7 +106,7 @@
         let first_ms = self.first_byte_ms.get();
         let short = |ms: u64| u32::try_from(ms).unwrap_or(u32::MAX);
         self.entry.placement.finish(Finished {
-            ticket: self.ticket,
+            job_id: self.job_id,
             outcome,
             first_byte_ms: first_ms.map(|first_ms| short(first_ms - self.sent_ms)),
             rest_ms: first_ms.map_or(0, |first_ms| short(now_ms - first_ms)),
@@ -171,7 +171,7 @@
             }
             Ok(Ok(connected)) => connected,
         };
-        if self.entry.placement.is_barred(&endpoint) {
+        if self.entry.placement.is_excluded(&endpoint) {
             return AttemptEnd::Barred;
         }
         let request = self.onward(identified, placed, stream);
@@ -229,7 +229,7 @@
         spdlog::info!("endpoint wants nothing new", kv: {
             id: = self.fields.id, endpoint: = endpoint, leaving, pause_ms:serde = pause_ms,
         });
-        self.entry.placement.heed(endpoint, notice);
+        self.entry.placement.record_notice(endpoint, notice);
     }
 
     /// Takes an idle connection, or makes one; tells whether it is a new one.
@@ -285,7 +285,7 @@
             Timer::after(Duration::from_millis(stall_ms)).await;
             let (id, endpoint) = (&self.fields.id, &attempt.endpoint);
             spdlog::warn!("endpoint stalls", kv: { id: = id, endpoint: = endpoint, stall_ms, can_move });
-            self.entry.placement.stalled(attempt.ticket);
+            self.entry.placement.report_stall(attempt.job_id);
             if !can_move {
                 smol::future::pending::<()>().await;
             }
--- a/crates/proxy/src/exchange/guard.rs
+++ b/crates/proxy/src/exchange/guard.rs
@@ -2,7 +2,7 @@
 
 use crate::entry::Entry;
 use crate::http1::Connection;
-use lycheehub_dispatch::Ticket;
+use lycheehub_dispatch::JobId;
 use smol::Timer;
 use std::cell::Cell;
 use std::rc::Rc;
@@ -41,13 +41,13 @@
 /// A request that waits for its endpoint, and is withdrawn where it stops waiting.
 pub(super) struct Asked {
     entry: Rc<Entry>,
-    ticket: Ticket,
+    job_id: JobId,
     decided: Cell<bool>,
 }
 
 impl Asked {
-    pub(super) fn new(entry: &Rc<Entry>, ticket: Ticket) -> Self {
-        Self { entry: entry.clone(), ticket, decided: Cell::new(false) }
+    pub(super) fn new(entry: &Rc<Entry>, job_id: JobId) -> Self {
+        Self { entry: entry.clone(), job_id, decided: Cell::new(false) }
     }
 
     pub(super) fn is_decided(&self) {
@@ -58,7 +58,7 @@
 impl Drop for Asked {
     fn drop(&mut self) {
         if !self.decided.get() {
-            self.entry.placement.withdraw(self.ticket);
+            self.entry.placement.withdraw(self.job_id);
         }
     }
 }
--- a/crates/proxy/src/exchange/mod.rs
+++ b/crates/proxy/src/exchange/mod.rs
@@ -19,7 +19,7 @@
 use attempt::{AttemptEnd, Held};
 use filters::Identified;
 use guard::Interrupted;
-use lycheehub_dispatch::{Decision, Job, Reason, Ticket};
+use lycheehub_dispatch::{Decision, Job, JobId, Reason};
 use lycheehub_routes::{RequestKind, RouteSpec};
 use lycheehub_types::{EndpointName, Refusal, RefusalKind};
 use relay::StreamState;
@@ -204,10 +204,10 @@
         goes_on: bool,
     ) -> Result<Placed, Stopped> {
         let asked_ms = self.entry.clock.now_ms();
-        let ticket = self.entry.placement.ticket();
-        let job = self.job(identified, ticket, tried, goes_on);
+        let job_id = self.entry.placement.next_job_id();
+        let job = self.job(identified, job_id, tried, goes_on);
         self.trail.note_job(&job);
-        let asked = guard::Asked::new(self.entry, ticket);
+        let asked = guard::Asked::new(self.entry, job_id);
         let deciding = self.entry.placement.place(job);
         let decision = guard::guard(self.entry, connection, self.deadline_ms, deciding).await;
         let decision = decision.map_err(Stopped::Interrupted)?;
@@ -215,7 +215,7 @@
         self.trail.note_wait(self.entry.clock.now_ms() - asked_ms);
         match decision {
             Decision::Place { endpoint, address, first_byte_ms, .. } => {
-                Ok(Placed { ticket, endpoint, address, first_byte_ms })
+                Ok(Placed { job_id, endpoint, address, first_byte_ms })
             }
             Decision::Refuse { reason, retry_after_ms, .. } => {
                 Err(Stopped::Refused(refusal_of(reason, retry_after_ms)))
@@ -226,7 +226,7 @@
     fn job(
         &self,
         identified: &Identified,
-        ticket: Ticket,
+        job_id: JobId,
         tried: &[EndpointName],
         goes_on: bool,
     ) -> Job {
@@ -243,18 +243,18 @@
         let patience_ms = patience_ms.map_or(self.deadline_ms, |ms| asked_ms + ms);
         let patience_ms = patience_ms.min(self.deadline_ms);
         let output_max = self.fields.output_max_tokens;
-        let told_tokens = self
+        let declared_tokens = self
             .fields
             .prompt_tokens
             .map(|prompt| u64::from(prompt) + u64::from(output_max.unwrap_or_default()));
         let likely = self.fields.output_hint_tokens.or(output_max).unwrap_or_default();
         Job {
-            ticket,
+            job_id,
             service: identified.service.clone(),
             tier: identified.tier,
             rank: route.rank,
             account: identified.account.clone(),
-            told_tokens,
+            declared_tokens,
             prompt_tokens: self.fields.prompt_tokens.unwrap_or_default(),
             output_tokens: output_max.map_or(likely, |most| likely.min(most)),
             prefix: self.fields.prefix.clone(),
@@ -262,8 +262,8 @@
             patience_left_ms: patience_ms.saturating_sub(now_ms),
             deadline_left_ms: self.deadline_ms.saturating_sub(now_ms),
             returning,
-            goes_on,
-            is_final: !route.kind.may_repeat() || is_last(route, tried),
+            resumes_stream: goes_on,
+            is_last_attempt: !route.kind.may_repeat() || is_last(route, tried),
             failure_domain: self.entry.options.failure_domain.clone(),
             tried: tried.to_vec(),
             repeat: !tried.is_empty(),
@@ -283,7 +283,7 @@
 
 /// A request with the endpoint that it goes to.
 struct Placed {
-    ticket: Ticket,
+    job_id: JobId,
     endpoint: EndpointName,
     address: smol_str::SmolStr,
     first_byte_ms: u64,
--- a/crates/proxy/src/exchange/trail.rs
+++ b/crates/proxy/src/exchange/trail.rs
@@ -74,7 +74,7 @@
 
     /// Notes what the decision is made by.
     pub(super) fn note_job(&mut self, job: &Job) {
-        self.tokens = job.told_tokens.unwrap_or_default();
+        self.tokens = job.declared_tokens.unwrap_or_default();
         self.output_tokens = job.output_tokens;
         self.deadline_ms = job.deadline_left_ms;
         self.returning = job.returning;
--- a/crates/proxy/tests/proxy/support.rs
+++ b/crates/proxy/tests/proxy/support.rs
@@ -2,8 +2,8 @@
 
 use futures_lite::{AsyncReadExt, AsyncWriteExt};
 use lycheehub_clock::Clock;
-use lycheehub_dispatch::placement::Deciding;
-use lycheehub_dispatch::{Decision, Finished, Job, Notice, Outcome, Placement, Reason, Ticket};
+use lycheehub_dispatch::placement::DecisionFuture;
+use lycheehub_dispatch::{Decision, Finished, Job, JobId, Notice, Outcome, Placement, Reason};
 use lycheehub_proxy::dialect::{AnswerFields, Dialect, OnwardFields, RequestFields};
 use lycheehub_proxy::http1::{Headers, RequestHead, ResponseHead};
 use lycheehub_proxy::{Entry, Options, Snapshot, Snapshots, server};
@@ -86,14 +86,14 @@
 }
 
 impl Placement for Turns {
-    fn ticket(&self) -> Ticket {
+    fn next_job_id(&self) -> JobId {
         self.number.set(self.number.get() + 1);
-        Ticket { instance: 0, number: self.number.get() }
+        JobId { instance: 0, number: self.number.get() }
     }
 
-    fn place(&self, job: Job) -> Deciding<'_> {
+    fn place(&self, job: Job) -> DecisionFuture<'_> {
         Box::pin(async move {
-            let ticket = job.ticket;
+            let job_id = job.job_id;
             self.returning.borrow_mut().push(job.returning);
             self.patience_left_ms.borrow_mut().push(job.patience_left_ms);
             if self.holds.get() {
@@ -104,7 +104,7 @@
                 false => self.over_quota.get().then_some(Reason::QuotaExceeded),
             };
             if let Some(reason) = refused {
-                return Decision::Refuse { ticket, reason, retry_after_ms: 700 };
+                return Decision::Refuse { job_id, reason, retry_after_ms: 700 };
             }
             let addresses = self.addresses.borrow();
             let turn = self.next.get();
@@ -112,7 +112,7 @@
             let address = &addresses[turn % addresses.len()];
             let endpoint = format!("endpoint-{}", turn % addresses.len()).into();
             Decision::Place {
-                ticket,
+                job_id,
                 endpoint,
                 address: address.as_str().into(),
                 first_byte_ms: 10,
@@ -124,17 +124,17 @@
         self.outcomes.borrow_mut().push(finished.outcome);
     }
 
-    fn stalled(&self, _: Ticket) {}
+    fn report_stall(&self, _: JobId) {}
 
-    fn withdraw(&self, _: Ticket) {
+    fn withdraw(&self, _: JobId) {
         self.withdrawn.set(self.withdrawn.get() + 1);
     }
 
-    fn heed(&self, endpoint: &EndpointName, notice: Notice) {
+    fn record_notice(&self, endpoint: &EndpointName, notice: Notice) {
         self.notices.borrow_mut().push((endpoint.to_string(), notice));
     }
 
-    fn is_barred(&self, endpoint: &EndpointName) -> bool {
+    fn is_excluded(&self, endpoint: &EndpointName) -> bool {
         self.barred.borrow().iter().any(|barred| barred == endpoint.as_str())
     }
 }
--- a/crates/standin/src/bin/lycheehub-measure/place.rs
+++ b/crates/standin/src/bin/lycheehub-measure/place.rs
@@ -2,7 +2,7 @@
 
 use crate::{Arguments, Failed};
 use lycheehub_dispatch::{
-    Decision, Dispatcher, Finished, Job, Options, Outcome, PrefixPart, Ticket,
+    Decision, Dispatcher, Finished, Job, JobId, Options, Outcome, PrefixPart,
 };
 use lycheehub_routes::{Document, EngineSpec, ServiceSpec};
 use lycheehub_types::{EndpointKind, EndpointLoad, EndpointRecord};
@@ -26,8 +26,8 @@
         dispatcher.submit(now_ms, job(number));
         take_placed(&mut dispatcher, &mut running);
         while running.len() > most {
-            let Some(ticket) = running.pop_front() else { break };
-            dispatcher.finish(now_ms, finished(ticket));
+            let Some(job_id) = running.pop_front() else { break };
+            dispatcher.finish(now_ms, finished(job_id));
             take_placed(&mut dispatcher, &mut running);
         }
     }
@@ -47,8 +47,8 @@
     let document = Document { version: 1, services: vec![service], ..Document::default() };
     let records: Vec<EndpointRecord> = (0..endpoints).map(record).collect();
     let mut dispatcher = Dispatcher::new(Options::default());
-    dispatcher.take_document(1, &document);
-    dispatcher.take_endpoints(1, records.iter());
+    dispatcher.set_document(1, &document);
+    dispatcher.set_endpoints(1, records.iter());
     dispatcher
 }
 
@@ -75,12 +75,12 @@
 fn job(number: u64) -> Job {
     let spread = |prime: u64, below: u64| (number.wrapping_mul(prime) % below) as u32;
     Job {
-        ticket: Ticket { instance: spread(7, 60), number },
+        job_id: JobId { instance: spread(7, 60), number },
         service: "writer".into(),
         tier: 1,
         rank: (number % 3) as u8,
         account: None,
-        told_tokens: Some(3_000),
+        declared_tokens: Some(3_000),
         prompt_tokens: 600 + spread(7_919, 9_000),
         output_tokens: 100 + spread(104_729, 900),
         prefix: vec![
@@ -91,23 +91,23 @@
         patience_left_ms: 2_000,
         deadline_left_ms: 15_000,
         returning: false,
-        goes_on: false,
-        is_final: false,
+        resumes_stream: false,
+        is_last_attempt: false,
         failure_domain: DOMAINS[number as usize % DOMAINS.len()].into(),
         tried: vec![],
         repeat: false,
     }
 }
 
-fn take_placed(dispatcher: &mut Dispatcher, running: &mut VecDeque<Ticket>) {
+fn take_placed(dispatcher: &mut Dispatcher, running: &mut VecDeque<JobId>) {
     for decision in dispatcher.take_decisions() {
-        if let Decision::Place { ticket, .. } = decision {
-            running.push_back(ticket);
+        if let Decision::Place { job_id, .. } = decision {
+            running.push_back(job_id);
         }
     }
 }
 
-fn finished(ticket: Ticket) -> Finished {
+fn finished(job_id: JobId) -> Finished {
     let outcome = Outcome::Answered;
-    Finished { ticket, outcome, first_byte_ms: Some(50), rest_ms: 600, events: 40 }
+    Finished { job_id, outcome, first_byte_ms: Some(50), rest_ms: 600, events: 40 }
 }
--- a/crates/wire/src/convert/placement.rs
+++ b/crates/wire/src/convert/placement.rs
@@ -4,7 +4,7 @@
 use crate::peer_capnp as schema;
 use capnp::struct_list;
 use lycheehub_dispatch::{
-    Decision, Finished, InFlight, Job, Notice, Outcome, PrefixPart, Reason, Ticket, Usage,
+    Decision, Finished, InFlight, Job, JobId, Notice, Outcome, PrefixPart, Reason, Usage,
 };
 use lycheehub_types::{AccountName, EndpointName};
 
@@ -14,19 +14,19 @@
 /// Fails where the message does not decode.
 pub fn read_job(instance: u32, reader: schema::job::Reader<'_>) -> Result<Job, WireError> {
     let account = text(reader.get_account())?;
-    let told_tokens = reader.get_told_tokens();
+    let declared_tokens = reader.get_told_tokens();
     let prefix = reader.get_prefix()?.iter();
     let mut tried = Vec::new();
     for name in reader.get_tried()? {
         tried.push(EndpointName::from(text(name)?));
     }
     Ok(Job {
-        ticket: Ticket { instance, number: reader.get_number() },
+        job_id: JobId { instance, number: reader.get_number() },
         service: text(reader.get_service())?.into(),
         tier: reader.get_tier(),
         rank: reader.get_rank(),
         account: (!account.is_empty()).then(|| AccountName::from(account)),
-        told_tokens: (told_tokens > 0).then_some(told_tokens),
+        declared_tokens: (declared_tokens > 0).then_some(declared_tokens),
         prompt_tokens: reader.get_prompt_tokens(),
         output_tokens: reader.get_output_tokens(),
         prefix: prefix
@@ -36,8 +36,8 @@
         patience_left_ms: reader.get_patience_left_ms(),
         deadline_left_ms: reader.get_deadline_left_ms(),
         returning: reader.get_returning(),
-        goes_on: reader.get_goes_on(),
-        is_final: reader.get_is_final(),
+        resumes_stream: reader.get_goes_on(),
+        is_last_attempt: reader.get_is_final(),
         failure_domain: text(reader.get_failure_domain())?.into(),
         tried,
         repeat: reader.get_repeat(),
@@ -46,20 +46,20 @@
 
 /// Writes a request.
 pub fn write_job(job: &Job, mut builder: schema::job::Builder<'_>) {
-    builder.set_number(job.ticket.number);
+    builder.set_number(job.job_id.number);
     builder.set_service(job.service.as_str());
     builder.set_tier(job.tier);
     builder.set_rank(job.rank);
     builder.set_account(job.account.as_ref().map_or("", AccountName::as_str));
-    builder.set_told_tokens(job.told_tokens.unwrap_or_default());
+    builder.set_told_tokens(job.declared_tokens.unwrap_or_default());
     builder.set_prompt_tokens(job.prompt_tokens);
     builder.set_output_tokens(job.output_tokens);
     builder.set_objective_left_ms(job.objective_left_ms);
     builder.set_patience_left_ms(job.patience_left_ms);
     builder.set_deadline_left_ms(job.deadline_left_ms);
     builder.set_returning(job.returning);
-    builder.set_goes_on(job.goes_on);
-    builder.set_is_final(job.is_final);
+    builder.set_goes_on(job.resumes_stream);
+    builder.set_is_final(job.is_last_attempt);
     builder.set_failure_domain(job.failure_domain.as_str());
     builder.set_repeat(job.repeat);
     let mut prefix = builder.reborrow().init_prefix(job.prefix.len() as u32);
@@ -74,12 +74,12 @@
     }
 }
 
-/// Reads a decision about the request `ticket`.
+/// Reads a decision about the request `job_id`.
 ///
 /// # Errors
 /// Fails where the message does not decode.
 pub fn read_decision(
-    ticket: Ticket,
+    job_id: JobId,
     reader: schema::decision::Reader<'_>,
 ) -> Result<Decision, WireError> {
     use schema::decision::Which;
@@ -87,7 +87,7 @@
         Which::Place(place) => {
             let place = place?;
             Decision::Place {
-                ticket,
+                job_id,
                 endpoint: text(place.get_endpoint())?.into(),
                 address: text(place.get_address())?.into(),
                 first_byte_ms: place.get_first_byte_ms(),
@@ -96,7 +96,7 @@
         Which::Refuse(refuse) => {
             let refuse = refuse?;
             Decision::Refuse {
-                ticket,
+                job_id,
                 reason: refuse.get_reason()?.into(),
                 retry_after_ms: refuse.get_retry_after_ms(),
             }
@@ -131,7 +131,7 @@
 ) -> Result<Vec<Finished>, WireError> {
     let read = |entry: schema::finished::Reader<'_>| {
         Ok(Finished {
-            ticket: Ticket { instance, number: entry.get_number() },
+            job_id: JobId { instance, number: entry.get_number() },
             outcome: entry.get_outcome()?.into(),
             first_byte_ms: entry.get_has_first_byte().then(|| entry.get_first_byte_ms()),
             rest_ms: entry.get_rest_ms(),
@@ -148,7 +148,7 @@
 ) {
     for (place, finished) in (0..).zip(finished) {
         let mut entry = builder.reborrow().get(place);
-        entry.set_number(finished.ticket.number);
+        entry.set_number(finished.job_id.number);
         entry.set_outcome(finished.outcome.into());
         entry.set_has_first_byte(finished.first_byte_ms.is_some());
         entry.set_first_byte_ms(finished.first_byte_ms.unwrap_or_default());
