--- a/crates/dispatch/src/dispatcher/choose.rs
+++ b/crates/dispatch/src/dispatcher/choose.rs
@@ -70,7 +70,7 @@
         let mut evaluated = 0;
         while evaluated < EVALUATIONS_MAX
             && skipped.len() < SKIPPED_MAX
-            && self.has_room(now_ms, name)
+            && self.has_free_slot(now_ms, name)
         {
             let service = self.services.get_mut(name);
             let popped = service.and_then(|service| service.queue.pop(now_ms, slots));
@@ -82,7 +82,7 @@
                 continue;
             }
             match self.choose(now_ms, name, &queued.job) {
-                Some(key) if !self.waits_for_better(now_ms, key, &queued) => {
+                Some(key) if !self.should_wait(now_ms, key, &queued) => {
                     self.place(now_ms, key, queued);
                 }
                 _ => {
@@ -100,7 +100,7 @@
 
     /// Returns whether a job that would miss its objective, overrun its deadline or probably fail
     /// on the free endpoint `key` should wait for a better endpoint that is currently full.
-    fn waits_for_better(&self, now_ms: u64, key: EndpointKey, queued: &QueuedJob) -> bool {
+    fn should_wait(&self, now_ms: u64, key: EndpointKey, queued: &QueuedJob) -> bool {
         let job = &queued.job;
         let Some(service) = self.services.get(&job.service) else { return false };
         let events = service.events_of(job.output_tokens);
@@ -109,7 +109,7 @@
         let endpoint = &self.endpoints[key];
         let first_byte_ms = endpoint.first_byte_ms(now_ms, job);
         let is_late = left_ms > SLOT_WAIT_MS && first_byte_ms > left_ms;
-        let overrun = endpoint.overrun_chance(first_byte_ms, events, ends_ms);
+        let overrun = endpoint.overrun_probability(first_byte_ms, events, ends_ms);
         let overruns = overrun > OVERRUN_LIMIT;
         let acceptable = OVERRUN_LOW.max(overrun * OVERRUN_RATIO);
         let fails_often = |endpoint: &Endpoint| {
@@ -121,24 +121,24 @@
         }
         let mut others = service.endpoints.iter().map(|key| &self.endpoints[*key]);
         others.any(|other| {
-            if other.is_leaving() || !other.health.is_open(now_ms) {
+            if other.is_leaving() || !other.health.is_available(now_ms) {
                 return false;
             }
             let first_byte_ms = other.first_byte_ms(now_ms, job);
             let is_on_time = first_byte_ms + SLOT_WAIT_MS <= left_ms;
-            let ends = || other.overrun_chance(first_byte_ms, events, ends_ms) < acceptable;
+            let ends = || other.overrun_probability(first_byte_ms, events, ends_ms) < acceptable;
             (!is_late || is_on_time)
                 && (!overruns || ends())
                 && (!fails || is_on_time && !fails_often(other))
         })
     }
 
-    fn has_room(&self, now_ms: u64, name: &ServiceName) -> bool {
-        let has_room = |endpoint: &Endpoint| {
+    fn has_free_slot(&self, now_ms: u64, name: &ServiceName) -> bool {
+        let has_free_slot = |endpoint: &Endpoint| {
             !endpoint.is_leaving() && endpoint.running.len() < endpoint.usable_slots(now_ms)
         };
         let Some(service) = self.services.get(name) else { return false };
-        service.endpoints.iter().any(|key| has_room(&self.endpoints[*key]))
+        service.endpoints.iter().any(|key| has_free_slot(&self.endpoints[*key]))
     }
 
     fn choose(&self, now_ms: u64, name: &ServiceName, job: &Job) -> Option<EndpointKey> {
@@ -184,7 +184,7 @@
             if endpoint.health.is_on_probation(now_ms) { PROBATION_COST_MS } else { 0.0 };
         let load = endpoint.running.len() as f64 / f64::from(endpoint.record.slots.max(1));
         let first_byte_ms = endpoint.first_byte_ms(now_ms, job);
-        let overrun = endpoint.overrun_chance(first_byte_ms, events, job.deadline_left_ms);
+        let overrun = endpoint.overrun_probability(first_byte_ms, events, job.deadline_left_ms);
         let overrun_ms = overrun * OVERRUN_COST_MS;
         first_byte_ms + cross_domain_ms + failure_ms + probation_ms + overrun_ms + load
     }
--- a/crates/dispatch/src/dispatcher/mod.rs
+++ b/crates/dispatch/src/dispatcher/mod.rs
@@ -193,7 +193,7 @@
                 return self.refuse(job.job_id, reason, retry_after_ms);
             }
         };
-        let Some(queued) = self.queued_job(now_ms, job, units) else { return };
+        let Some(queued) = self.prepare_job(now_ms, job, units) else { return };
         if let Some(retry_after_ms) = self.overload_retry_after_ms(now_ms, &queued) {
             return self.refuse_queued(queued, Reason::Overloaded, retry_after_ms);
         }
@@ -215,20 +215,25 @@
             }
             return Ok(0.0);
         }
-        let mut taken = 0.0;
+        let mut charged = 0.0;
         let account_quota =
             job.account.as_ref().and_then(|name| Some((name, self.accounts.get(name)?)));
         if let Some((name, quota)) = account_quota {
             let units = quota.units_of(job.declared_tokens);
             let instance = job.job_id.instance;
             let account_quota = (name, quota);
-            let result =
-                self.quotas.take(now_ms, &self.options, instance, account_quota, (job.rank, units));
+            let result = self.quotas.charge(
+                now_ms,
+                &self.options,
+                instance,
+                account_quota,
+                (job.rank, units),
+            );
             result.map_err(|wait_ms| (Reason::QuotaExceeded, wait_ms))?;
-            taken = units;
+            charged = units;
         }
         self.retries.record_request(now_ms, &self.options, &job.service);
-        Ok(taken)
+        Ok(charged)
     }
 
     /// Returns whether some endpoints may not have announced themselves yet.
@@ -252,11 +257,11 @@
         let all_paused_ms = self.all_paused_ms(now_ms, job);
         let first_byte_ms = first_byte_ms_at(service.speed, job) as u64;
         let patience_ms = job.patience_left_ms.min(job.deadline_left_ms);
-        let is_closed = all_paused_ms > 0 && all_paused_ms + first_byte_ms >= patience_ms;
-        is_closed.then_some((Reason::Overloaded, all_paused_ms))
+        let is_unavailable = all_paused_ms > 0 && all_paused_ms + first_byte_ms >= patience_ms;
+        is_unavailable.then_some((Reason::Overloaded, all_paused_ms))
     }
 
-    fn queued_job(&mut self, now_ms: u64, job: Job, units: f64) -> Option<QueuedJob> {
+    fn prepare_job(&mut self, now_ms: u64, job: Job, units: f64) -> Option<QueuedJob> {
         if let Some((reason, retry_after_ms)) = self.immediate_refusal(now_ms, &job) {
             self.refund(now_ms, &job, units);
             self.refuse(job.job_id, reason, retry_after_ms);
@@ -335,11 +340,11 @@
 
     /// Restores the requests that an instance has running on endpoints, placed by an earlier
     /// dispatcher.
-    pub fn adopt(&mut self, now_ms: u64, instance: u32, in_flight: &[InFlight]) {
+    pub fn restore_in_flight(&mut self, now_ms: u64, instance: u32, in_flight: &[InFlight]) {
         for request in in_flight {
             let Some(key) = self.by_name.get(&request.endpoint) else { continue };
             let job_id = JobId { instance, number: request.number };
-            self.endpoints[*key].adopt(now_ms, job_id, request.memory_tokens);
+            self.endpoints[*key].restore(now_ms, job_id, request.memory_tokens);
             // The rank is not reported; the earlier samples that it would be compared with are
             // unknown as well.
             let placed = PlacedJob { endpoint: *key, is_stream: request.is_stream, rank: 0 };
@@ -348,8 +353,8 @@
     }
 
     /// Restores the quota usage that an instance reports for its client accounts.
-    pub fn adopt_usage(&mut self, now_ms: u64, instance: u32, usage: &[Usage]) {
-        self.quotas.adopt(now_ms, instance, usage);
+    pub fn restore_usage(&mut self, now_ms: u64, instance: u32, usage: &[Usage]) {
+        self.quotas.restore(now_ms, instance, usage);
     }
 
     /// Records the quota usage of a job that was placed by another dispatcher.
@@ -423,9 +428,9 @@
     /// use lycheehub_dispatch::{Dispatcher, Options};
     ///
     /// let dispatcher = Dispatcher::new(Options::default());
-    /// assert_eq!(dispatcher.loads(1_000).count(), 0);
+    /// assert_eq!(dispatcher.service_loads(1_000).count(), 0);
     /// ```
-    pub fn loads(&self, now_ms: u64) -> impl Iterator<Item = ServiceLoad> {
+    pub fn service_loads(&self, now_ms: u64) -> impl Iterator<Item = ServiceLoad> {
         self.services.iter().map(move |(name, service)| {
             let mut load = ServiceLoad {
                 service: name.clone(),
--- a/crates/dispatch/src/dispatcher/refuse.rs
+++ b/crates/dispatch/src/dispatcher/refuse.rs
@@ -26,7 +26,7 @@
 const RETRY_AFTER_SHARE: f64 = 0.32;
 /// The interval over which retries after an overload are spread, in milliseconds; the shorter
 /// bursts last as long.
-const RETURN_SPREAD_MS: u64 = 2_500;
+const RETRY_SPREAD_MS: u64 = 2_500;
 /// The backlog up to which late jobs are kept, in milliseconds.
 const SHORT_BACKLOG_MS: u64 = 300;
 /// How long lower tiers are not admitted after a higher tier was shed, in milliseconds.
@@ -35,9 +35,10 @@
 impl Service {
     /// Removes the jobs that can no longer meet their objective, except those that are kept
     /// although they are late.
-    fn take_expired(&mut self, now_ms: u64, many_wait: bool) -> Vec<QueuedJob> {
-        let is_kept =
-            |queued: &QueuedJob| !many_wait || queued.job.returning || queued.job.resumes_stream;
+    fn take_expired(&mut self, now_ms: u64, has_long_backlog: bool) -> Vec<QueuedJob> {
+        let is_kept = |queued: &QueuedJob| {
+            !has_long_backlog || queued.job.returning || queued.job.resumes_stream
+        };
         let expired = self.queue.take_expired(now_ms);
         let (kept, shed): (Vec<_>, Vec<_>) = expired.into_iter().partition(is_kept);
         for queued in kept {
@@ -48,8 +49,8 @@
 
     /// Returns whether the queued jobs need the given number of slots for longer than a short
     /// backlog.
-    fn many_wait(&self, slots: usize) -> bool {
-        self.queue.needed_ms() / slots.max(1) as u64 > SHORT_BACKLOG_MS
+    fn has_long_backlog(&self, slots: usize) -> bool {
+        self.queue.backlog_slot_ms() / slots.max(1) as u64 > SHORT_BACKLOG_MS
     }
 }
 
@@ -62,12 +63,12 @@
     ) -> Option<u64> {
         let job = &queued.job;
         let queue_max = self.options.queue_max;
-        let hopeless = self.is_infeasible(now_ms, queued);
+        let is_infeasible = self.is_infeasible(now_ms, queued);
         let service = self.services.get_mut(&job.service)?;
         service.tier_floor = service.tier_floor.filter(|(_, until_ms)| now_ms < *until_ms);
         let is_below_floor = service.tier_floor.is_some_and(|(tier, _)| job.tier > tier);
         let full = service.queue.len() >= queue_max;
-        (is_below_floor || full || hopeless).then(|| spread_retry_after_ms(queued))
+        (is_below_floor || full || is_infeasible).then(|| spread_retry_after_ms(queued))
     }
 
     /// Returns whether a new job cannot finish in time behind the queued jobs.
@@ -75,7 +76,7 @@
         let name = &queued.job.service;
         self.services.get(name).is_some_and(|service| {
             !service.queue.is_empty()
-                && queued.is_infeasible(now_ms, service.many_wait(self.slots_of(name)))
+                && queued.is_infeasible(now_ms, service.has_long_backlog(self.slots_of(name)))
         })
     }
 
@@ -91,11 +92,12 @@
         let slots = self.slots_of(name);
         let may_discover_endpoints = slots == 0 && self.is_discovering(now_ms);
         let Some(service) = self.services.get_mut(name) else { return };
-        let many_wait = service.many_wait(slots);
-        let mut shed = service.queue.take_if(|queued| queued.is_infeasible(now_ms, many_wait));
+        let has_long_backlog = service.has_long_backlog(slots);
+        let mut shed =
+            service.queue.take_if(|queued| queued.is_infeasible(now_ms, has_long_backlog));
         if !may_discover_endpoints {
             shed.extend(service.queue.take_overdue(now_ms));
-            shed.extend(service.take_expired(now_ms, many_wait));
+            shed.extend(service.take_expired(now_ms, has_long_backlog));
         }
         // A job that arrived with too little time is no sign of overload.
         let overloads = shed.iter().filter(|queued| queued.was_feasible());
@@ -134,7 +136,7 @@
 /// caller accepts, minus a pseudo-random part that spreads the retries.
 fn spread_retry_after_ms(queued: &QueuedJob) -> u64 {
     let latest_ms = (queued.job.deadline_left_ms as f64 * RETRY_AFTER_SHARE) as u64;
-    let spread_ms = RETURN_SPREAD_MS.min(latest_ms / 2);
+    let spread_ms = RETRY_SPREAD_MS.min(latest_ms / 2);
     let job_id = queued.job.job_id;
     let drawn =
         (job_id.number.wrapping_mul(0x9E37_79B9_7F4A_7C15) >> 40) + u64::from(job_id.instance);
--- a/crates/dispatch/src/dispatcher/versions.rs
+++ b/crates/dispatch/src/dispatcher/versions.rs
@@ -16,7 +16,7 @@
     /// How requests are divided between the versions.
     pub mode: VersionMode,
     /// The versions that receive no requests.
-    pub barred: Vec<Version>,
+    pub excluded: Vec<Version>,
 }
 
 /// How requests are divided between versions.
@@ -52,7 +52,7 @@
     pub rank: u8,
     /// The mean time per event of a stream, or the time of the whole response otherwise, in
     /// milliseconds; `None` if the endpoint failed.
-    pub pace_ms: Option<f64>,
+    pub ms_per_event: Option<f64>,
 }
 
 /// A version rule with the number of requests placed under it.
@@ -100,12 +100,12 @@
                 record.version == *target || record.incarnation >= *since_unix_ms
             }
         };
-        matches_version && !self.rule.barred.contains(&record.version)
+        matches_version && !self.rule.excluded.contains(&record.version)
     }
 
     fn is_old(&self, endpoint: &Endpoint, target: &Version) -> bool {
         let version = &endpoint.record.version;
-        version != target && !self.rule.barred.contains(version)
+        version != target && !self.rule.excluded.contains(version)
     }
 
     /// Returns whether an endpoint may receive a request intended for `group` when no endpoint of
@@ -157,7 +157,7 @@
 
     /// Returns the number of requests running on endpoints of a service whose version satisfies
     /// `matches_version`.
-    pub fn running_at(
+    pub fn running_count(
         &self,
         service: &ServiceName,
         matches_version: impl Fn(&Version) -> bool,
@@ -178,7 +178,7 @@
         if !is_compared || self.samples.len() >= SAMPLES_MAX {
             return;
         }
-        let pace_ms = match finished.outcome {
+        let ms_per_event = match finished.outcome {
             Outcome::Answered => {
                 let first_ms = f64::from(finished.first_byte_ms.unwrap_or_default());
                 let all_ms = first_ms + f64::from(finished.rest_ms);
@@ -191,6 +191,6 @@
             | Outcome::Abandoned => return,
         };
         let (service, version) = (record.service.clone(), record.version.clone());
-        self.samples.push(VersionSample { service, version, rank, pace_ms });
+        self.samples.push(VersionSample { service, version, rank, ms_per_event });
     }
 }
--- a/crates/dispatch/src/endpoints/health.rs
+++ b/crates/dispatch/src/endpoints/health.rs
@@ -21,7 +21,7 @@
     failure_share: f64,
     /// When the endpoint last responded, in milliseconds.
     answered_ms: u64,
-    closed_until_ms: u64,
+    unavailable_until_ms: u64,
     consecutive_pauses: u32,
     /// When a probation ends if no requests are sent to the endpoint, in milliseconds.
     probation_until_ms: u64,
@@ -31,8 +31,8 @@
 
 impl Health {
     /// Returns whether the endpoint is not paused.
-    pub fn is_open(&self, now_ms: u64) -> bool {
-        now_ms >= self.closed_until_ms
+    pub fn is_available(&self, now_ms: u64) -> bool {
+        now_ms >= self.unavailable_until_ms
     }
 
     /// Returns whether the endpoint receives only one request at a time.
@@ -53,7 +53,7 @@
     ///
     /// let mut health = Health::default();
     /// health.record(1_000, 900, Outcome::NotConnected);
-    /// assert!(!health.is_open(1_001));
+    /// assert!(!health.is_available(1_001));
     /// ```
     pub fn record(&mut self, now_ms: u64, since_ms: u64, outcome: Outcome) {
         match outcome {
@@ -61,13 +61,14 @@
             Outcome::Failed | Outcome::Broken => self.record_failure(),
             Outcome::Rejected => {
                 self.record_failure();
-                self.closed_until_ms = self.closed_until_ms.max(now_ms + REJECTED_PAUSE_MS);
+                self.unavailable_until_ms =
+                    self.unavailable_until_ms.max(now_ms + REJECTED_PAUSE_MS);
             }
             Outcome::NotConnected => {
                 self.record_failure();
                 self.pause(now_ms, since_ms);
             }
-            Outcome::Misdirected => self.closed_until_ms = now_ms + PAUSE_MAX_MS,
+            Outcome::Misdirected => self.unavailable_until_ms = now_ms + PAUSE_MAX_MS,
             Outcome::Abandoned => {}
         }
     }
@@ -92,8 +93,8 @@
         }
         let pause_ms = (FIRST_PAUSE_MS << self.consecutive_pauses.min(8)).min(PAUSE_MAX_MS);
         self.consecutive_pauses += 1;
-        self.closed_until_ms = now_ms + pause_ms;
-        self.put_on_probation(self.closed_until_ms);
+        self.unavailable_until_ms = now_ms + pause_ms;
+        self.put_on_probation(self.unavailable_until_ms);
     }
 
     /// Puts the endpoint on probation: it must respond to a few single requests before it receives
--- a/crates/dispatch/src/endpoints/mod.rs
+++ b/crates/dispatch/src/endpoints/mod.rs
@@ -85,7 +85,7 @@
     /// Returns the number of requests that this dispatcher may run on the endpoint given its
     /// health.
     pub fn usable_slots(&self, now_ms: u64) -> usize {
-        if !self.health.is_open(now_ms) {
+        if !self.health.is_available(now_ms) {
             0
         } else if self.health.is_on_probation(now_ms) {
             self.slot_limit.min(1)
@@ -117,7 +117,7 @@
 
     /// Returns the probability, from 0 to 1, that a response of about `events` events is not
     /// finished within `left_ms` if its first event arrives after `first_byte_ms`.
-    pub fn overrun_chance(&self, first_byte_ms: f64, events: f64, left_ms: u64) -> f64 {
+    pub fn overrun_probability(&self, first_byte_ms: f64, events: f64, left_ms: u64) -> f64 {
         // In nine of ten cases, the expected length is correct to within a factor of 1.8.
         const STEEPNESS: i32 = 4;
         if events == 0.0 {
@@ -149,7 +149,7 @@
     }
 
     /// Records a request that was placed on the endpoint by another dispatcher.
-    pub fn adopt(&mut self, now_ms: u64, job_id: JobId, memory_tokens: u64) {
+    pub fn restore(&mut self, now_ms: u64, job_id: JobId, memory_tokens: u64) {
         self.add(job_id, Running { memory_tokens, expected_ms: 0.0, since_ms: now_ms });
     }
 
--- a/crates/dispatch/src/endpoints/notices.rs
+++ b/crates/dispatch/src/endpoints/notices.rs
@@ -52,7 +52,7 @@
     /// The incarnation that sent the notices, if known.
     incarnation: Option<u64>,
     /// When the last notice was received, in milliseconds.
-    heard_ms: u64,
+    received_ms: u64,
     leaving: bool,
     /// The end of the pause of each instance, in milliseconds.
     pauses: BTreeMap<u32, u64>,
@@ -90,7 +90,7 @@
             *state = NoticeState::default();
         }
         state.incarnation = incarnation;
-        state.heard_ms = now_ms;
+        state.received_ms = now_ms;
         state.leaving |= notice.leaving;
         if let Some(pause_ms) = notice.pause_ms {
             let until_ms = now_ms + pause_ms;
@@ -143,7 +143,7 @@
         self.by_endpoint.retain(|name, state| {
             state.pauses.retain(|_, until_ms| now_ms < *until_ms);
             let is_relevant = state.leaving || !state.pauses.is_empty();
-            is_relevant && (is_known(name) || now_ms < state.heard_ms + UNKNOWN_ENDPOINT_KEPT_MS)
+            is_relevant && (is_known(name) || now_ms < state.received_ms + UNKNOWN_ENDPOINT_KEPT_MS)
         });
     }
 }
--- a/crates/dispatch/src/queue.rs
+++ b/crates/dispatch/src/queue.rs
@@ -78,9 +78,9 @@
     /// Returns whether the caller will have left, or the deadline will have passed, before the
     /// response ends: on the fastest endpoint, or on the mean endpoint if many jobs wait for the
     /// fastest ones.
-    pub fn is_infeasible(&self, now_ms: u64, many_wait: bool) -> bool {
+    pub fn is_infeasible(&self, now_ms: u64, has_long_backlog: bool) -> bool {
         let first_ms = now_ms + 2 * self.first_byte_ms + PATIENCE_MARGIN_MS;
-        let slot_ms = if many_wait { self.slot_ms } else { self.min_slot_ms };
+        let slot_ms = if has_long_backlog { self.slot_ms } else { self.min_slot_ms };
         first_ms >= self.patience_ms.min(self.deadline_ms) || now_ms + slot_ms >= self.deadline_ms
     }
 
@@ -133,10 +133,10 @@
     fn pop(&mut self, now_ms: u64, slots: usize) -> Option<QueuedJob> {
         let (first, last) = (*self.jobs.first_key_value()?.0, *self.jobs.last_key_value()?.0);
         let backlog_ms = self.slot_ms as f64 / slots.max(1) as f64;
-        let newest_waits_ms = last.0.saturating_sub(now_ms) as f64;
+        let newest_left_ms = last.0.saturating_sub(now_ms) as f64;
         let is_shedding = self.expired_ms.is_some_and(|at_ms| now_ms < at_ms + SHEDDING_MS);
         let share = if is_shedding { FIFO_BACKLOG_SHARE_SHEDDING } else { FIFO_BACKLOG_SHARE };
-        let is_fifo = backlog_ms <= newest_waits_ms * share;
+        let is_fifo = backlog_ms <= newest_left_ms * share;
         self.take(if is_fifo { first } else { last })
     }
 
@@ -253,7 +253,7 @@
     }
 
     /// Returns the total slot time that the queued jobs need, in milliseconds.
-    pub fn needed_ms(&self) -> u64 {
+    pub fn backlog_slot_ms(&self) -> u64 {
         self.tiers.values().flat_map(TierQueue::queues).map(|queue| queue.slot_ms).sum()
     }
 
--- a/crates/dispatch/src/quota.rs
+++ b/crates/dispatch/src/quota.rs
@@ -149,7 +149,7 @@
         let mut urgent: Vec<(u64, f64)> = urgent.copied().collect();
         urgent.sort_by_key(|(at_ms, _)| std::cmp::Reverse(*at_ms));
         let mut leaving = self.total.used.iter().peekable();
-        let (mut needed, mut expired, mut most) = (0.0, 0.0, 0.0_f64);
+        let (mut needed, mut expired, mut shortfall) = (0.0, 0.0, 0.0_f64);
         for (at_ms, demand) in urgent {
             // Demand of a given age is expected again after the same time.
             let ahead_ms = now_ms + (now_ms - at_ms);
@@ -159,9 +159,9 @@
                 expired += units;
             }
             needed += demand;
-            most = most.max(needed - expired);
+            shortfall = shortfall.max(needed - expired);
         }
-        most
+        shortfall
     }
 
     fn add(&mut self, at_ms: u64, instance: u32, units: f64) {
@@ -237,7 +237,7 @@
     ///
     /// # Errors
     /// Fails if the request would exceed the quota of the account.
-    pub fn take(
+    pub fn charge(
         &mut self,
         now_ms: u64,
         options: &Options,
@@ -274,7 +274,7 @@
 
     /// Restores the usage that an instance reports, oldest first, if it is more than the known
     /// usage: a restarted instance has lost its own count.
-    pub fn adopt(&mut self, now_ms: u64, instance: u32, usage: &[Usage]) {
+    pub fn restore(&mut self, now_ms: u64, instance: u32, usage: &[Usage]) {
         let mut reported: BTreeMap<&AccountName, Window> = BTreeMap::new();
         for usage in usage {
             let at_ms = now_ms.saturating_sub(usage.ago_ms);
--- a/crates/dispatch/tests/dispatch/budgets.rs
+++ b/crates/dispatch/tests/dispatch/budgets.rs
@@ -19,7 +19,7 @@
 fn dispatcher_like(before: &mut Dispatcher, now_ms: u64) -> Dispatcher {
     let mut after = dispatcher(Options::default(), QUOTA);
     let usage = before.usage(now_ms, 1);
-    after.adopt_usage(now_ms, 1, &usage);
+    after.restore_usage(now_ms, 1, &usage);
     after
 }
 
@@ -82,7 +82,7 @@
     expect_that!(largest_window(&mut before, 1_000, 4_000, 60), ge(88));
     let usage: Vec<Usage> = before.usage(5_000, 1);
     let mut after = dispatcher(options, QUOTA);
-    after.adopt_usage(5_000, 1, &usage);
+    after.restore_usage(5_000, 1, &usage);
     // The quota of this window is used up: nothing more until what was used is 8 s old.
     expect_that!(largest_window(&mut after, 5_000, 3_900, 60), le(1));
 }
@@ -92,7 +92,7 @@
     let mut dispatcher = dispatcher(Options::default(), QUOTA);
     expect_that!(largest_window(&mut dispatcher, 1_000, 4_000, 60), ge(88));
     dispatcher.forget_instance(5_000, 1);
-    dispatcher.adopt_usage(5_000, 1, &[]);
+    dispatcher.restore_usage(5_000, 1, &[]);
     expect_that!(largest_window(&mut dispatcher, 5_000, 3_900, 60), le(1));
 }
 
--- a/crates/dispatch/tests/dispatch/versions.rs
+++ b/crates/dispatch/tests/dispatch/versions.rs
@@ -8,7 +8,7 @@
 
 /// Two endpoints of version v1 and one of version v2 that is started later.
 fn divided(mode: VersionMode) -> Dispatcher {
-    let rule = VersionRule { mode, barred: vec![] };
+    let rule = VersionRule { mode, excluded: vec![] };
     let new = EndpointRecord { version: "v2".into(), incarnation: 50, ..record("new", 100) };
     let mut dispatcher = dispatcher(&[record("old-1", 100), record("old-2", 100), new]);
     dispatcher.set_version_rules(BTreeMap::from([("writer".into(), rule)]));
@@ -62,7 +62,7 @@
 fn a_version_that_was_taken_back_gets_nothing() {
     for mode in [VersionMode::Any, split(1.0)] {
         let mut dispatcher = divided(mode.clone());
-        let rule = VersionRule { mode, barred: vec!["v2".into()] };
+        let rule = VersionRule { mode, excluded: vec!["v2".into()] };
         dispatcher.set_version_rules(BTreeMap::from([("writer".into(), rule)]));
         expect_that!(placed_new(&mut dispatcher, 300), eq(0));
     }
--- a/crates/peer/src/node/placing.rs
+++ b/crates/peer/src/node/placing.rs
@@ -64,7 +64,7 @@
             return;
         }
         self.load_noted_ms = now_ms;
-        for load in self.dispatcher.loads(now_ms) {
+        for load in self.dispatcher.service_loads(now_ms) {
             let service = [("service", load.service.to_string())];
             metrics::gauge!("lycheehub_waiting_requests", &service).set(load.waiting as f64);
             metrics::gauge!("lycheehub_running_requests", &service).set(load.running as f64);
@@ -189,8 +189,8 @@
         spdlog::info!("instance entered", kv: { instance: = instance, number, in_flight = count });
         let connection = key.connection;
         placing.sessions.insert(number, Session { instance, connection, heard_ms: now_ms });
-        placing.dispatcher.adopt(now_ms, number, in_flight);
-        placing.dispatcher.adopt_usage(now_ms, number, usage);
+        placing.dispatcher.restore_in_flight(now_ms, number, in_flight);
+        placing.dispatcher.restore_usage(now_ms, number, usage);
         Some(key)
     }
 
--- a/crates/peer/src/node/rollouts.rs
+++ b/crates/peer/src/node/rollouts.rs
@@ -55,6 +55,6 @@
     });
     Versions {
         new_slots: new.map(|endpoint| endpoint.slots).sum(),
-        old_running: dispatcher.running_at(&order.service, |version| *version != order.target),
+        old_running: dispatcher.running_count(&order.service, |version| *version != order.target),
     }
 }
--- a/crates/peer/src/rollouts.rs
+++ b/crates/peer/src/rollouts.rs
@@ -42,7 +42,7 @@
                 VersionMode::Any
             }
         };
-        (name.clone(), VersionRule { mode, barred })
+        (name.clone(), VersionRule { mode, excluded: barred })
     };
     rollouts.iter().map(rule).collect()
 }
@@ -53,7 +53,8 @@
     for sample in samples {
         let route = Route::new(format_smolstr!("rank {}", sample.rank));
         let key = ObservationKey { service: sample.service, version: sample.version, route };
-        let observation = sample.pace_ms.map_or_else(Observation::failure, Observation::success);
+        let observation =
+            sample.ms_per_event.map_or_else(Observation::failure, Observation::success);
         *observations.entry(key).or_default() += observation;
     }
     observations
