--- a/crates/dispatch/tests/dispatch/budgets.rs
+++ b/crates/dispatch/tests/dispatch/budgets.rs
@@ -1,4 +1,4 @@
-//! Quotas of client accounts, and the budget of repeats.
+//! Tests of account quotas and of the retry budget.
 
 use crate::replay::{document, job, record};
 use googletest::prelude::*;
@@ -15,22 +15,26 @@
     dispatcher
 }
 
-/// Returns a dispatcher that goes on from what the large account has used.
-fn dispatcher_like(before: &mut Dispatcher, now_ms: u64) -> Dispatcher {
+/// Returns a new dispatcher that restores the usage of the large account from `before`.
+fn dispatcher_restored_from(before: &mut Dispatcher, now_ms: u64) -> Dispatcher {
     let mut after = dispatcher(Options::default(), QUOTA);
     let usage = before.usage(now_ms, 1);
     after.restore_usage(now_ms, 1, &usage);
     after
 }
 
-/// Submits a job of the large account; tells whether it was placed, or why not.
-fn ask(dispatcher: &mut Dispatcher, now_ms: u64, number: u64) -> Result<(), Reason> {
-    ask_in_full(dispatcher, now_ms, number).map_err(|(reason, _)| reason)
+/// Submits a job of the large account. Returns whether it was placed, or the reason for refusal.
+fn submit_large(dispatcher: &mut Dispatcher, now_ms: u64, number: u64) -> Result<(), Reason> {
+    submit_with_delay(dispatcher, now_ms, number).map_err(|(reason, _)| reason)
 }
 
-/// Submits a job of the large account; tells whether it was placed, or why not and after how many
-/// milliseconds it is to come back.
-fn ask_in_full(dispatcher: &mut Dispatcher, now_ms: u64, number: u64) -> Result<(), (Reason, u64)> {
+/// Submits a job of the large account. Returns whether it was placed, or the reason for refusal and
+/// the retry delay in milliseconds.
+fn submit_with_delay(
+    dispatcher: &mut Dispatcher,
+    now_ms: u64,
+    number: u64,
+) -> Result<(), (Reason, u64)> {
     let job_id = JobId { instance: 1, number };
     let large =
         Job { job_id, account: Some("large".into()), declared_tokens: Some(1_000), ..job(0) };
@@ -42,13 +46,13 @@
     }
 }
 
-/// Asks `per_s` times a second for `for_ms`; returns how much was let through in each window.
+/// Submits `per_s` jobs per second for `for_ms`. Returns the largest number admitted in a window.
 fn largest_window(dispatcher: &mut Dispatcher, from_ms: u64, for_ms: u64, per_s: u64) -> usize {
     let mut passed = Vec::new();
     let mut largest = 0;
     for number in 0..per_s * for_ms / 1_000 {
         let now_ms = from_ms + number * 1_000 / per_s;
-        if ask(dispatcher, now_ms, from_ms * 1_000 + number).is_ok() {
+        if submit_large(dispatcher, now_ms, from_ms * 1_000 + number).is_ok() {
             passed.push(now_ms);
         }
         let within = passed.iter().rev().take_while(|at_ms| now_ms - **at_ms < 8_000).count();
@@ -60,7 +64,7 @@
 #[gtest]
 fn a_hot_account_gets_its_quota_in_every_window_and_no_more() {
     let mut dispatcher = dispatcher(Options::default(), QUOTA);
-    // 8 s of 10 requests each, and a burst of 10.
+    // 10 requests per second for 8 s, and a burst of 10.
     expect_that!(largest_window(&mut dispatcher, 1_000, 30_000, 60), all![ge(88), le(91)]);
 }
 
@@ -70,25 +74,25 @@
     for second in 0..30 {
         for number in 0..10 {
             let now_ms = 1_000 + second * 1_000 + number * 3;
-            expect_that!(ask(&mut dispatcher, now_ms, second * 100 + number), ok(()));
+            expect_that!(submit_large(&mut dispatcher, now_ms, second * 100 + number), ok(()));
         }
     }
 }
 
 #[gtest]
-fn a_new_dispatcher_goes_on_from_what_instances_say_they_used() {
+fn a_new_dispatcher_restores_the_usage_reported_by_instances() {
     let options = Options::default();
     let mut before = dispatcher(options, QUOTA);
     expect_that!(largest_window(&mut before, 1_000, 4_000, 60), ge(88));
     let usage: Vec<Usage> = before.usage(5_000, 1);
     let mut after = dispatcher(options, QUOTA);
     after.restore_usage(5_000, 1, &usage);
-    // The quota of this window is used up: nothing more until what was used is 8 s old.
+    // The quota of this window is used up: nothing is admitted until the usage is 8 s old.
     expect_that!(largest_window(&mut after, 5_000, 3_900, 60), le(1));
 }
 
 #[gtest]
-fn an_instance_that_was_started_again_frees_nothing_that_it_used() {
+fn a_restarted_instance_frees_none_of_its_usage() {
     let mut dispatcher = dispatcher(Options::default(), QUOTA);
     expect_that!(largest_window(&mut dispatcher, 1_000, 4_000, 60), ge(88));
     dispatcher.forget_instance(5_000, 1);
@@ -97,17 +101,17 @@
 }
 
 #[gtest]
-fn what_is_refused_for_its_quota_is_let_through_when_it_returns_as_told() {
+fn a_request_over_quota_is_admitted_after_its_retry_delay() {
     let mut dispatcher = dispatcher(Options::default(), QUOTA);
-    // The quota of a window of 8 s is used up within one and a half.
+    // The quota of an 8 s window is used up within 1.5 s.
     largest_window(&mut dispatcher, 1_000, 2_000, 60);
     for (number, now_ms) in [(1, 3_100), (2, 4_500), (3, 8_000)] {
-        let refused = ask_in_full(&mut dispatcher, now_ms, number);
+        let refused = submit_with_delay(&mut dispatcher, now_ms, number);
         let (_, after_ms) = refused.expect_err("the quota is used up");
-        let mut earlier = dispatcher_like(&mut dispatcher, now_ms);
-        expect_that!(ask(&mut earlier, now_ms + after_ms - 200, 8), err(anything()));
-        let mut later = dispatcher_like(&mut dispatcher, now_ms);
-        expect_that!(ask(&mut later, now_ms + after_ms, 9), ok(()));
+        let mut earlier = dispatcher_restored_from(&mut dispatcher, now_ms);
+        expect_that!(submit_large(&mut earlier, now_ms + after_ms - 200, 8), err(anything()));
+        let mut later = dispatcher_restored_from(&mut dispatcher, now_ms);
+        expect_that!(submit_large(&mut later, now_ms + after_ms, 9), ok(()));
     }
 }
 
@@ -125,7 +129,7 @@
 fn an_instance_without_a_leader_uses_its_part() {
     let options = Options { budget_share: 0.125, ..Options::default() };
     let mut dispatcher = dispatcher(options, QUOTA);
-    // An eighth of 90, and some more since requests come unevenly.
+    // An eighth of 90, and some more because requests arrive unevenly.
     expect_that!(largest_window(&mut dispatcher, 1_000, 20_000, 60), all![ge(11), le(16)]);
 }
 
@@ -142,18 +146,18 @@
 }
 
 #[gtest]
-fn what_is_given_back_does_not_count_longer_than_what_was_taken() {
+fn refunds_leave_the_window_with_their_charges() {
     let mut dispatcher = dispatcher(Options::default(), QUOTA);
-    // Each request waits for half a second and is then withdrawn; others are let through meanwhile.
+    // Each request waits for half a second and is then withdrawn; others are admitted meanwhile.
     dispatcher.set_endpoints(1, [record("a", 1)].iter());
     for number in 0..40 {
-        expect_that!(ask(&mut dispatcher, 1_000 + number, number), ok(()));
+        expect_that!(submit_large(&mut dispatcher, 1_000 + number, number), ok(()));
     }
     for number in 1..40 {
         dispatcher.withdraw(5_000, JobId { instance: 1, number });
     }
     dispatcher.set_endpoints(5_001, [record("a", 10_000)].iter());
-    // What was taken has run out of the window, and so has what was given back.
+    // Both the charged and the refunded units have left the window.
     expect_that!(largest_window(&mut dispatcher, 9_500, 7_900, 60), le(91));
 }
 
@@ -172,12 +176,12 @@
         };
         repeats += u32::from(!decisions.iter().any(refused));
     }
-    // 0.2 of 200 requests, and 20 besides.
+    // 0.2 of 200 requests, and 20 more.
     expect_that!(repeats, all![gt(30), le(60)]);
 }
 
-/// Submits a job of a rank of the large account; tells whether it was let through.
-fn ask_of_rank(dispatcher: &mut Dispatcher, now_ms: u64, rank: u8, number: u64) -> bool {
+/// Submits a job of the given rank of the large account. Returns whether it was admitted.
+fn submit_of_rank(dispatcher: &mut Dispatcher, now_ms: u64, rank: u8, number: u64) -> bool {
     let job_id = JobId { instance: 1, number };
     let large =
         Job { job_id, account: Some("large".into()), declared_tokens: Some(1_000), ..job(0) };
@@ -186,9 +190,9 @@
     !matches!(dispatcher.take_decisions().pop(), Some(Decision::Refuse { .. }))
 }
 
-/// Lets requests of three ranks come, the same number of each, `per_s` in all, `for_ms` long; returns
-/// how many of each rank came and were let through.
-fn ask_of_all_ranks(
+/// Submits jobs of three ranks in turn, `per_s` per second in total, for `for_ms`. Returns the
+/// numbers of submitted and admitted jobs by rank.
+fn submit_of_all_ranks(
     dispatcher: &mut Dispatcher,
     from_ms: u64,
     for_ms: u64,
@@ -198,7 +202,7 @@
     for number in 0..per_s * for_ms / 1_000 {
         let rank = (number % 3) as u8;
         let now_ms = from_ms + number * 1_000 / per_s;
-        let passed = ask_of_rank(dispatcher, now_ms, rank, from_ms * 1_000 + number);
+        let passed = submit_of_rank(dispatcher, now_ms, rank, from_ms * 1_000 + number);
         let counts = &mut ranks[usize::from(rank)];
         *counts = (counts.0 + 1, counts.1 + u32::from(passed));
     }
@@ -208,24 +212,24 @@
 #[gtest]
 fn an_account_beyond_its_quota_is_refused_its_least_urgent_requests_first() {
     let mut dispatcher = dispatcher(Options::default(), QUOTA);
-    let usual = ask_of_all_ranks(&mut dispatcher, 1_000, 10_000, 9);
+    let usual = submit_of_all_ranks(&mut dispatcher, 1_000, 10_000, 9);
     expect_that!(usual.iter().all(|(came, passed)| came == passed), eq(true));
-    // 24 a second of which 8 are urgent: its quota of 11 bears these, and few of the others.
-    let [urgent, middle, least] = ask_of_all_ranks(&mut dispatcher, 11_000, 10_000, 24);
+    // 24 per second, 8 of them urgent: the quota of 11 covers these and few of the others.
+    let [urgent, middle, least] = submit_of_all_ranks(&mut dispatcher, 11_000, 10_000, 24);
     let share = |(came, passed): (u32, u32)| f64::from(passed) / f64::from(came);
     expect_that!(share(urgent), ge(0.95));
     expect_that!(share(middle), all![gt(share(least)), lt(0.7)]);
-    // What the quota bears is let through: 88 in 8 s and 11 at the most beside.
+    // Requests within the quota are admitted: 88 in 8 s and at most 11 more.
     let passed = urgent.1 + middle.1 + least.1;
     expect_that!(passed, ge(95));
 }
 
 #[gtest]
-fn a_short_burst_that_the_quota_bears_is_let_through_whole() {
+fn a_short_burst_within_the_quota_is_admitted() {
     let mut dispatcher = dispatcher(Options::default(), QUOTA);
-    ask_of_all_ranks(&mut dispatcher, 1_000, 10_000, 3);
-    // 24 were used of 90; 60 more come within a second.
-    let burst = ask_of_all_ranks(&mut dispatcher, 11_000, 1_000, 60);
+    submit_of_all_ranks(&mut dispatcher, 1_000, 10_000, 3);
+    // 24 of 90 units are used; 60 more requests arrive within a second.
+    let burst = submit_of_all_ranks(&mut dispatcher, 11_000, 1_000, 60);
     let least = burst[2];
     expect_that!(f64::from(least.1) / f64::from(least.0), ge(0.7));
     expect_that!(burst[0].0, eq(burst[0].1));
--- a/crates/dispatch/tests/dispatch/health.rs
+++ b/crates/dispatch/tests/dispatch/health.rs
@@ -1,11 +1,11 @@
-//! Endpoints that fail.
+//! Tests of the handling of failing endpoints.
 
 use crate::replay::{dispatcher, finished, job, record};
 use googletest::prelude::*;
 use lycheehub_dispatch::{Decision, Dispatcher, Job, JobId, Outcome};
 use std::collections::VecDeque;
 
-/// Submits a job and returns where it goes.
+/// Submits a job and returns the endpoint that it is placed on.
 fn place(dispatcher: &mut Dispatcher, now_ms: u64, number: u64) -> Option<String> {
     dispatcher.submit(now_ms, job(number));
     dispatcher.take_decisions().into_iter().find_map(|decision| match decision {
@@ -19,7 +19,7 @@
 }
 
 #[gtest]
-fn an_endpoint_that_cannot_be_reached_is_left_alone() {
+fn an_unreachable_endpoint_is_paused() {
     let mut dispatcher = dispatcher(&[record("a", 9), record("b", 9)]);
     let first = place(&mut dispatcher, 10, 1).unwrap();
     dispatcher.finish(210, finished(job_id(1), Outcome::NotConnected));
@@ -29,7 +29,7 @@
 }
 
 #[gtest]
-fn one_lost_answer_says_nothing_of_an_endpoint_that_answers_others() {
+fn a_stalled_request_does_not_pause_an_endpoint_that_answers_others() {
     let mut dispatcher = dispatcher(&[record("a", 9)]);
     place(&mut dispatcher, 10, 1);
     place(&mut dispatcher, 20, 2);
@@ -54,7 +54,7 @@
 }
 
 #[gtest]
-fn a_service_of_which_every_endpoint_fails_a_part_is_still_used() {
+fn a_service_whose_endpoints_all_fail_partly_is_still_used() {
     let mut dispatcher = dispatcher(&[record("a", 9), record("b", 9)]);
     let mut placed = 0;
     for number in 0..200 {
@@ -66,8 +66,8 @@
     expect_that!(placed, eq(200));
 }
 
-/// Places requests of which every third that `fails` tells of fails; returns how many of each kind
-/// failed.
+/// Places requests, of which every third fails on the endpoints selected by `fails`. Returns the
+/// number of failures of jobs that can be retried and of those that cannot.
 fn failures(names: &[&str], fails: impl Fn(&str) -> bool) -> [u32; 2] {
     let records: Vec<_> = names.iter().map(|name| record(name, 9)).collect();
     let mut dispatcher = dispatcher(&records);
@@ -100,17 +100,17 @@
 }
 
 #[gtest]
-fn what_cannot_be_sent_elsewhere_goes_where_answers_are_not_lost() {
-    // Two thirds of the slots are used; four of eight endpoints lose a third of their answers.
+fn jobs_without_retry_go_to_reliable_endpoints() {
+    // Two thirds of the slots are used; four of eight endpoints lose a third of their responses.
     let names = ["a", "b", "c", "d", "e", "f", "g", "h"];
-    let [movable, last] = failures(&names, |name| name < "e");
-    // Placed evenly, one in six would fail: some 140 of each kind.
+    let [retryable, last] = failures(&names, |name| name < "e");
+    // With even placement, one in six would fail: about 140 of each kind.
     expect_that!(last, lt(30));
-    expect_that!(movable, lt(140));
+    expect_that!(retryable, lt(140));
 }
 
 #[gtest]
-fn failures_that_come_anywhere_keep_no_endpoint_from_its_part() {
+fn equal_failures_on_all_endpoints_exclude_none() {
     let names = ["a", "b", "c", "d", "e", "f", "g", "h"];
     let all: u32 = failures(&names, |_| true).iter().sum();
     expect_that!(all, all![gt(500), lt(620)]);
--- a/crates/dispatch/tests/dispatch/main.rs
+++ b/crates/dispatch/tests/dispatch/main.rs
@@ -1,4 +1,4 @@
-//! Tests of the dispatcher: replays of load at its worst, and its parts.
+//! Tests of the dispatcher: replays of extreme load, and tests of its parts.
 
 mod budgets;
 mod health;
--- a/crates/dispatch/tests/dispatch/notices.rs
+++ b/crates/dispatch/tests/dispatch/notices.rs
@@ -1,4 +1,4 @@
-//! What endpoints say of themselves in their answers.
+//! Tests of the notices that endpoints send in their responses.
 
 use crate::replay::{dispatcher, document, finished, job, record};
 use googletest::prelude::*;
@@ -11,7 +11,7 @@
     Notice { leaving: false, pause_ms: Some(pause_ms) }
 }
 
-/// Returns where a job of an instance goes, if it goes anywhere; it ends at once.
+/// Returns the endpoint that a job of an instance is placed on, if any; the job ends at once.
 fn place(dispatcher: &mut Dispatcher, now_ms: u64, instance: u32, number: u64) -> Option<String> {
     let job_id = JobId { instance, number };
     dispatcher.submit(now_ms, Job { job_id, ..job(number) });
@@ -26,7 +26,7 @@
 }
 
 #[gtest]
-fn an_endpoint_that_said_that_it_leaves_gets_nothing_new_from_anybody() {
+fn a_leaving_endpoint_gets_no_requests_from_any_instance() {
     let mut dispatcher = dispatcher(&[record("a", 9), record("b", 9)]);
     dispatcher.record_notice(1_000, 1, (&"a".into(), None), LEAVES);
     for number in 0..9 {
@@ -37,7 +37,7 @@
 }
 
 #[gtest]
-fn leaving_outlasts_later_news_of_the_same_incarnation_and_a_gap_in_them() {
+fn a_leaving_notice_survives_later_records_of_the_same_incarnation() {
     let (a, b) = (record("a", 9), record("b", 9));
     let mut dispatcher = dispatcher(&[a.clone(), b.clone()]);
     dispatcher.record_notice(1_000, 1, (&"a".into(), None), LEAVES);
@@ -52,7 +52,7 @@
 }
 
 #[gtest]
-fn what_an_endpoint_says_before_it_is_known_here_holds() {
+fn notices_of_an_unknown_endpoint_apply_once_it_is_known() {
     let mut dispatcher = Dispatcher::new(Options::default());
     dispatcher.set_document(1, &document(None));
     dispatcher.record_notice(1_000, 1, (&"a".into(), None), LEAVES);
@@ -77,7 +77,7 @@
 }
 
 #[gtest]
-fn all_stay_away_from_an_endpoint_that_told_two_instances_to() {
+fn a_pause_of_two_instances_applies_to_all() {
     let mut dispatcher = dispatcher(&[record("a", 9)]);
     dispatcher.record_notice(1_000, 1, (&"a".into(), None), pause(2_000));
     expect_that!(place(&mut dispatcher, 1_100, 3, 1), some(eq("a")));
@@ -113,7 +113,7 @@
 }
 
 #[gtest]
-fn a_service_whose_endpoints_all_pause_for_long_tells_the_earliest_end() {
+fn a_service_with_all_endpoints_paused_returns_the_earliest_end() {
     let mut dispatcher = dispatcher(&[record("a", 9), record("b", 9)]);
     dispatcher.record_notice(1_000, 1, (&"a".into(), None), pause(9_000));
     dispatcher.record_notice(1_000, 1, (&"b".into(), None), pause(6_000));
@@ -121,12 +121,12 @@
     let job_id = JobId { instance: 1, number: 1 };
     let expected = Decision::Refuse { job_id, reason: Reason::Overloaded, retry_after_ms: 5_000 };
     expect_that!(dispatcher.take_decisions(), elements_are![eq(&expected)]);
-    // Others are not told to stay away.
+    // Other instances are not paused.
     expect_that!(place(&mut dispatcher, 2_001, 2, 1), some(anything()));
 }
 
 #[gtest]
-fn a_pause_of_hours_is_bounded_and_a_long_time_leaves_no_trace() {
+fn a_long_pause_is_limited_and_removed_when_it_ends() {
     let mut dispatcher = dispatcher(&[record("a", 9)]);
     dispatcher.record_notice(1_000, 1, (&"a".into(), None), pause(u64::MAX));
     expect_that!(dispatcher.is_excluded(600_000, 1, &"a".into()), eq(true));
@@ -136,10 +136,10 @@
 }
 
 #[gtest]
-fn what_an_earlier_incarnation_said_is_not_held_against_a_later_one() {
+fn notices_of_an_earlier_incarnation_are_ignored() {
     let restarted = EndpointRecord { incarnation: 2, ..record("a", 9) };
     let mut dispatcher = dispatcher(&[restarted]);
-    // An instance that has not heard of the new one yet passes on what it knows.
+    // An instance that does not know the new incarnation yet forwards an old notice.
     dispatcher.record_notice(1_000, 1, (&"a".into(), Some(1)), LEAVES);
     expect_that!(dispatcher.is_excluded(1_001, 1, &"a".into()), eq(false));
     expect_that!(place(&mut dispatcher, 1_002, 1, 1), some(eq("a")));
@@ -148,7 +148,7 @@
 }
 
 #[gtest]
-fn what_a_later_incarnation_said_waits_for_the_news_of_it() {
+fn a_notice_of_a_later_incarnation_applies_once_it_is_known() {
     let first = record("a", 9);
     let mut dispatcher = dispatcher(std::slice::from_ref(&first));
     dispatcher.record_notice(1_000, 1, (&"a".into(), Some(2)), LEAVES);
--- a/crates/dispatch/tests/dispatch/overload.rs
+++ b/crates/dispatch/tests/dispatch/overload.rs
@@ -1,13 +1,14 @@
-//! Replays of load at its worst.
+//! Replays of extreme load.
 
 use crate::replay::{Class, End, Replay, dispatcher, job, record};
 use googletest::prelude::*;
 use lycheehub_dispatch::{Decision, Dispatcher, Job, JobId};
 use lycheehub_types::EndpointRecord;
 
-/// Three speeds, five to one.
+/// Three engine speeds, up to 5:1.
 const SPEEDS: [f64; 6] = [0.55, 0.55, 1.0, 1.0, 2.8, 2.8];
-/// What these engines do of the jobs of [`job`] in a second: 54 slots, and 1.3 s a job at speed 1.
+/// The number of jobs like [`job`] that these engines finish per second: 54 slots, and 1.3 s per
+/// job at speed 1.
 const CAPACITY_PER_S: f64 = 9.0 * 8.7 / 1.27;
 
 fn on_time(end: End) -> bool {
@@ -24,17 +25,17 @@
 }
 
 #[gtest]
-fn a_burst_leaves_what_capacity_allows_on_time() {
+fn requests_within_capacity_are_on_time_in_a_burst() {
     let classes = [Class { job: job(0), per_s: CAPACITY_PER_S * 0.65 }];
     let mut replay = Replay::new(&SPEEDS);
     replay.run(5_000, &classes, 1.0);
     replay.run(5_000, &classes, 2.5);
     replay.run(10_000, &classes, 1.0);
     expect_that!(share(&replay, 0, 1, 5), gt(0.99));
-    // At 1.6 times the capacity no more than 0.62 can be on time, less what has to be seen first.
+    // At 1.6 times the capacity at most 0.62 can be on time, minus the time to detect the overload.
     let served = f64::from(replay.count(0, 5, 10, on_time)) / 5.0;
     expect_that!(served, gt(CAPACITY_PER_S * 0.8));
-    // Nobody waits for an answer that never comes.
+    // No admitted request is left unanswered until its caller gives up.
     expect_that!(replay.count(0, 0, 20, |end| end == End::Left), eq(0));
 }
 
@@ -45,16 +46,16 @@
     replay.run(4_000, &classes, 1.0);
     replay.run(6_000, &classes, 4.0);
     replay.run(12_000, &classes, 1.0);
-    // Those that were refused have come back within a third of their deadline.
+    // Refused callers have retried within a third of their deadline.
     expect_that!(share(&replay, 0, 16, 21), gt(0.97));
 }
 
 #[gtest]
-fn what_is_refused_is_refused_soon() {
+fn requests_are_refused_early() {
     let classes = [Class { job: job(0), per_s: CAPACITY_PER_S * 3.0 }];
     let mut replay = Replay::new(&SPEEDS);
     replay.run(10_000, &classes, 1.0);
-    // A tenth of the deadline; what has come back is kept a second for room.
+    // A tenth of the deadline; retried jobs are kept for up to a second.
     expect_that!(replay.longest_hold_ms, le(1_500));
 }
 
@@ -79,7 +80,7 @@
 }
 
 #[gtest]
-fn a_quarter_of_the_engines_gone_for_two_seconds_is_made_up_for() {
+fn service_recovers_after_losing_a_quarter_of_the_engines() {
     let speeds = [1.0; 8];
     let capacity_per_s = 9.0 * 8.0 / 1.27;
     let classes = [Class { job: job(0), per_s: capacity_per_s * 0.65 }];
@@ -100,13 +101,13 @@
     let short = Class { job: short, per_s: CAPACITY_PER_S * 0.5 };
     let mut replay = Replay::new(&SPEEDS);
     replay.run(10_000, &[long, short], 1.0);
-    // They need a fifteenth of a slot each: 3% of the capacity.
+    // Each needs a fifteenth of a slot: 3% of the capacity.
     expect_that!(share(&replay, 1, 2, 10), gt(0.95));
     let served = f64::from(replay.count(0, 2, 10, on_time)) / 8.0;
     expect_that!(served, gt(CAPACITY_PER_S * 0.75));
 }
 
-/// Returns the numbers of the jobs in the order in which one endpoint of one slot gets them.
+/// Returns the numbers of the jobs in the order in which a single slot serves them.
 fn order_of(jobs: &[Job]) -> Vec<u64> {
     let mut dispatcher = dispatcher(&[EndpointRecord { slots: 1, ..record("a", 1) }]);
     dispatcher.submit(1_000, Job { rank: 0, ..job(0) });
@@ -149,8 +150,8 @@
 }
 
 #[gtest]
-fn one_that_came_back_with_little_time_is_not_held_in_vain() {
-    // Callers with 2.5 s come back with about half of it.
+fn a_retry_with_little_time_left_is_not_held_for_long() {
+    // Callers with a deadline of 2.5 s retry with about half of it left.
     let short = Job { deadline_left_ms: 2_500, patience_left_ms: 2_000, ..job(0) };
     let short = Job { output_tokens: 15, ..short };
     // They hold a slot for a tenth of the time.
@@ -160,9 +161,9 @@
     expect_that!(replay.largest_held_part, le(0.5));
 }
 
-/// Returns a dispatcher of one slot, which job 1 has, and for which others wait and, after them, the
-/// rest of a stream as job 9.
-fn with_rest_of_a_stream(others: &Job) -> Dispatcher {
+/// Returns a dispatcher with one slot, held by job 1. Copies of `others` are queued, followed by
+/// job 9, which resumes a stream.
+fn dispatcher_with_resumed_stream(others: &Job) -> Dispatcher {
     let mut dispatcher = dispatcher(&[EndpointRecord { slots: 1, ..record("a", 1) }]);
     dispatcher.submit(1_000, job(1));
     for number in 2..6 {
@@ -178,7 +179,7 @@
 #[gtest]
 fn the_rest_of_a_stream_goes_with_the_most_urgent_requests_of_its_tier() {
     let placed_next = |others: &Job| {
-        let mut dispatcher = with_rest_of_a_stream(others);
+        let mut dispatcher = dispatcher_with_resumed_stream(others);
         dispatcher.withdraw(1_020, JobId { instance: 1, number: 1 });
         dispatcher.take_decisions().iter().find_map(|decision| match decision {
             Decision::Place { job_id, .. } => Some(job_id.number),
@@ -191,7 +192,7 @@
 
 #[gtest]
 fn the_rest_of_a_stream_is_kept_where_new_requests_are_refused() {
-    let mut dispatcher = with_rest_of_a_stream(&job(0));
+    let mut dispatcher = dispatcher_with_resumed_stream(&job(0));
     let mut refused = Vec::new();
     for now_ms in (1_050..2_000).step_by(50) {
         dispatcher.tick(now_ms);
--- a/crates/dispatch/tests/dispatch/placement.rs
+++ b/crates/dispatch/tests/dispatch/placement.rs
@@ -1,4 +1,4 @@
-//! Which endpoint a job goes to.
+//! Tests of the choice of endpoints.
 
 use crate::replay::{Class, End, Replay, dispatcher, document, finished, job, record};
 use googletest::prelude::*;
@@ -23,7 +23,7 @@
     let short = Class { job: job(0), per_s: 20.0 };
     let mut replay = Replay::new(&[0.55, 0.55, 1.0, 1.0, 2.8, 2.8]);
     replay.run(20_000, &[short, long], 1.0);
-    // On an engine of speed 0.55 such a prompt alone takes 870 ms.
+    // On an engine of speed 0.55, the prefill of such a prompt alone takes 870 ms.
     let all = replay.count(1, 5, 20, |_| true);
     let on_time = replay.count(1, 5, 20, |end| end == End::OnTime);
     expect_that!(f64::from(on_time) / f64::from(all), gt(0.95));
@@ -42,7 +42,7 @@
 }
 
 #[gtest]
-fn what_ran_by_the_word_of_an_earlier_dispatcher_takes_its_slot() {
+fn a_request_placed_by_an_earlier_dispatcher_holds_its_slot() {
     let mut dispatcher = dispatcher(&[record("a", 1)]);
     let running =
         InFlight { number: 9, endpoint: "a".into(), memory_tokens: 1_000, is_stream: true };
@@ -84,7 +84,7 @@
 }
 
 #[gtest]
-fn what_does_not_fit_into_memory_waits() {
+fn a_job_that_does_not_fit_into_memory_waits() {
     let mut dispatcher = dispatcher(&[record("a", 4)]);
     let large = |number| Job {
         prompt_tokens: 300_000,
@@ -116,7 +116,7 @@
 
 #[gtest]
 fn long_answers_go_where_they_end_in_time() {
-    // On an engine of speed 0.55 such an answer takes 18 s, on one of speed 2.8 it takes 3.6 s.
+    // Such a response takes 18 s on an engine of speed 0.55 and 3.6 s on one of speed 2.8.
     let long = Job { output_tokens: 2_400, deadline_left_ms: 15_000, ..job(0) };
     let long = Class { job: long, per_s: 3.0 };
     let short = Class { job: job(0), per_s: 30.0 };
@@ -124,7 +124,7 @@
     replay.run(40_000, &[short, long], 1.0);
     let all = replay.count(1, 0, 25, |end| !matches!(end, End::Refused(_)));
     let overran = replay.overran.get(&1).copied().unwrap_or(0);
-    // The first few come before the engines' speeds are known.
+    // The first few arrive before the engine speeds are known.
     expect_that!(overran, le(all / 20));
     let short = replay.count(0, 5, 40, |_| true);
     let on_time = replay.count(0, 5, 40, |end| end == End::OnTime);
@@ -135,7 +135,7 @@
 fn a_long_answer_is_not_refused_where_one_endpoint_can_end_it() {
     let mut dispatcher = dispatcher(&[record("fast", 1), record("slow", 1)]);
     let job_id = |number| JobId { instance: 1, number };
-    // It is learned that an event takes 10 ms at one and 100 ms at the other.
+    // The dispatcher learns that an event takes 10 ms on one endpoint and 100 ms on the other.
     for round in 0..40 {
         let now_ms = 1_000 + round * 10_000;
         for number in [2 * round, 2 * round + 1] {
@@ -159,7 +159,7 @@
     };
     let running: BTreeMap<String, JobId> =
         dispatcher.take_decisions().iter().map(placed_at).collect();
-    // A short one waits, and one of 300 events: 16.5 s at the mean endpoint, 3 s at the fast one.
+    // Queue a short job and one of 300 events: 16.5 s on the mean endpoint, 3 s on the fast one.
     dispatcher.submit(now_ms + 1, Job { job_id: job_id(102), output_tokens: 5, ..job(0) });
     dispatcher.submit(now_ms + 2, Job { job_id: job_id(103), output_tokens: 1_500, ..job(0) });
     expect_that!(placed(&mut dispatcher), is_empty());
@@ -170,10 +170,10 @@
 }
 
 #[gtest]
-fn what_waits_for_a_faster_engine_keeps_nobody_from_the_others() {
+fn jobs_waiting_for_a_faster_engine_do_not_block_others() {
     let mut dispatcher = dispatcher(&[record("fast", 1), record("slow", 9)]);
     let job_id = |number| JobId { instance: 1, number };
-    // It is learned how fast they are: the second of two goes to the slow one.
+    // The dispatcher learns the speeds: the second of two jobs goes to the slow endpoint.
     for round in 0..40 {
         let now_ms = 1_000 + round * 1_000;
         for number in [2 * round, 2 * round + 1] {
@@ -191,7 +191,7 @@
     let now_ms = 50_000;
     dispatcher.submit(now_ms, Job { job_id: job_id(100), prompt_tokens: 100, ..job(0) });
     expect_that!(placed(&mut dispatcher), elements_are![eq("fast")]);
-    // On time at the fast engine only, of which the slot is taken.
+    // These can be on time only on the fast endpoint, whose slot is taken.
     for number in 200..220 {
         let job_id = job_id(number);
         let long = Job { job_id, prompt_tokens: 35_000, objective_left_ms: 900, ..job(0) };
@@ -203,7 +203,7 @@
     dispatcher.tick(now_ms + 2);
     dispatcher.tick(now_ms + 3);
     expect_that!(placed(&mut dispatcher), elements_are![eq("slow")]);
-    // The slot that they wait for is theirs, also where others have come meanwhile.
+    // They get the next free slot of the fast endpoint although other jobs have arrived meanwhile.
     dispatcher.submit(now_ms + 4, Job { job_id: job_id(301), rank: 2, ..job(0) });
     expect_that!(placed(&mut dispatcher), elements_are![eq("slow")]);
     dispatcher.finish(now_ms + 5, finished(job_id(100), Outcome::Answered));
@@ -216,7 +216,7 @@
 }
 
 #[gtest]
-fn what_comes_before_its_endpoints_are_heard_waits_for_them() {
+fn a_job_waits_for_endpoints_to_announce_themselves() {
     let mut dispatcher = Dispatcher::new(Options::default());
     dispatcher.set_document(1_000, &document(None));
     dispatcher.set_endpoints(1_000, [].iter());
@@ -232,7 +232,7 @@
 }
 
 #[gtest]
-fn what_waits_for_endpoints_in_vain_is_told_so_before_its_caller_leaves() {
+fn a_job_without_endpoints_is_refused_before_its_caller_leaves() {
     let mut dispatcher = Dispatcher::new(Options::default());
     dispatcher.set_document(1_000, &document(None));
     dispatcher.set_endpoints(1_000, [].iter());
@@ -246,7 +246,7 @@
         }
     }
     expect_that!(refused_ms, some(all![gt(1_800), lt(2_050)]));
-    // Endpoints have had their time: it is said at once.
+    // The time for endpoints to announce themselves is over: the job is refused at once.
     dispatcher.submit(3_000, job(2));
     let decisions = dispatcher.take_decisions();
     expect_that!(decisions, elements_are![matches_pattern!(Decision::Refuse { .. })]);
--- a/crates/dispatch/tests/dispatch/replay.rs
+++ b/crates/dispatch/tests/dispatch/replay.rs
@@ -1,5 +1,5 @@
-//! Engines and callers for replays of load: time goes in steps of a millisecond, nothing is random
-//! but by a seed.
+//! Simulated engines and callers for load replays, in steps of a millisecond and with a fixed
+//! random seed.
 
 use lycheehub_dispatch::{
     Decision, Dispatcher, Finished, Job, JobId, Options, Outcome, PrefixPart, Reason,
@@ -10,11 +10,11 @@
 use rand::{Rng, SeedableRng};
 use std::collections::BTreeMap;
 
-/// How long a token of a prompt takes an engine of speed 1, in milliseconds.
+/// The prefill time per prompt token on an engine of speed 1, in milliseconds.
 const PREFILL_MS: f64 = 0.016;
-/// How long an event takes it, in milliseconds.
+/// The time per event on an engine of speed 1, in milliseconds.
 const EVENT_MS: f64 = 21.0;
-/// How many tokens an event holds.
+/// The number of tokens per event.
 pub const TOKENS_PER_EVENT: u32 = 5;
 
 pub fn record(name: &str, slots: u32) -> EndpointRecord {
@@ -106,12 +106,12 @@
     prefill_until_ms: f64,
 }
 
-/// What happens to a request at an engine.
+/// An event of a request on an engine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Event {
     First,
     End,
-    /// Its caller's time is over before its end.
+    /// The deadline of the request passes before its end.
     Cut,
 }
 
@@ -121,27 +121,27 @@
     class: usize,
 }
 
-/// A kind of requests with how many come in a second.
+/// A class of requests with its arrival rate.
 #[derive(Clone)]
 pub struct Class {
     pub job: Job,
     pub per_s: f64,
 }
 
-/// A replay under way.
+/// A load replay in progress.
 pub struct Replay {
     pub dispatcher: Dispatcher,
     engines: BTreeMap<String, Engine>,
     asked: BTreeMap<JobId, Asked>,
-    /// What happens when, by millisecond.
+    /// Scheduled events, by millisecond.
     events: BTreeMap<u64, Vec<(JobId, String, Event, u32)>>,
     returns: BTreeMap<u64, Vec<(Job, usize)>>,
-    /// Ends by second of arrival and class.
+    /// Results, by second of arrival and class.
     pub ends: BTreeMap<(u64, usize), BTreeMap<End, u32>>,
     pub longest_hold_ms: u64,
-    /// The largest part of its time for which a request was held and then refused.
+    /// The largest fraction of its patience for which a request was held before it was refused.
     pub largest_held_part: f64,
-    /// How many streams of each class were cut since their time was over.
+    /// The number of streams of each class that were cut off at their deadline.
     pub overran: BTreeMap<usize, u32>,
     rng: SmallRng,
     number: u64,
@@ -149,7 +149,7 @@
 }
 
 impl Replay {
-    /// Begins with engines of these speeds, 9 slots each.
+    /// Creates a replay with engines of the given speeds, 9 slots each.
     pub fn new(speeds: &[f64]) -> Self {
         let records: Vec<EndpointRecord> =
             (0..speeds.len()).map(|place| record(&format!("e{place}"), 9)).collect();
@@ -177,14 +177,14 @@
         }
     }
 
-    /// Replaces the endpoints that the dispatcher knows.
+    /// Replaces the endpoints known to the dispatcher.
     pub fn set_endpoints(&mut self, places: impl Iterator<Item = usize>) {
         let records: Vec<EndpointRecord> =
             places.map(|place| record(&format!("e{place}"), 9)).collect();
         self.dispatcher.set_endpoints(self.now_ms, records.iter());
     }
 
-    /// Lets requests come for `for_ms`, each class `x` times as many as it tells.
+    /// Submits requests for `for_ms`, each class at `x` times its rate.
     pub fn run(&mut self, for_ms: u64, classes: &[Class], x: f64) {
         for _ in 0..for_ms {
             self.now_ms += 1;
@@ -316,7 +316,8 @@
         self.admit(name);
     }
 
-    /// Returns how many requests of a class that came from second `from` to before `to` ended so.
+    /// Returns the number of requests of a class that arrived from second `from` until before `to`
+    /// and whose result is `wanted`.
     pub fn count(&self, class: usize, from: u64, to: u64, wanted: impl Fn(End) -> bool) -> u32 {
         let seconds = self
             .ends
--- a/crates/dispatch/tests/dispatch/share.rs
+++ b/crates/dispatch/tests/dispatch/share.rs
@@ -1,11 +1,11 @@
-//! Replays of load without a leader: many dispatchers that know nothing of each other.
+//! Replays of load without a leader: many dispatchers that do not communicate.
 
 use crate::replay::{document, job, record};
 use googletest::prelude::*;
 use lycheehub_dispatch::{Decision, Dispatcher, Job, JobId, Options};
 use std::collections::BTreeMap;
 
-/// Lets each of so many dispatchers place all that it can; returns how much each endpoint got.
+/// Lets every dispatcher place as many jobs as it can. Returns the number of jobs per endpoint.
 fn placed(instances: u32, endpoints: usize, slots: u32) -> BTreeMap<String, usize> {
     let records: Vec<_> = (0..endpoints).map(|n| record(&format!("i-{n}"), slots)).collect();
     let mut placed = BTreeMap::new();
@@ -34,7 +34,7 @@
 fn endpoints_get_about_what_they_can_run_from_many_instances() {
     let placed = placed(67, 90, 7);
     let all: usize = placed.values().sum();
-    // Within a fifth of all slots, and no endpoint with more than twice its own.
+    // Within a fifth of all slots, and no endpoint above about twice its own.
     expect_that!(all, all![ge(504), le(756)]);
     expect_that!(placed.values().max(), some(le(&15)));
 }
@@ -46,7 +46,7 @@
 }
 
 #[gtest]
-fn a_service_of_short_requests_gets_some_ahead() {
+fn a_service_of_short_requests_is_oversubscribed() {
     let mut plain = document(None);
     plain.services[0].engine = None;
     let mut dispatcher = Dispatcher::new(Options::default());
--- a/crates/dispatch/tests/dispatch/versions.rs
+++ b/crates/dispatch/tests/dispatch/versions.rs
@@ -1,4 +1,4 @@
-//! Requests divided between versions.
+//! Tests of the division of requests between versions.
 
 use crate::replay::{dispatcher, finished, job, record};
 use googletest::prelude::*;
@@ -6,7 +6,7 @@
 use lycheehub_types::EndpointRecord;
 use std::collections::BTreeMap;
 
-/// Two endpoints of version v1 and one of version v2 that is started later.
+/// Returns a dispatcher with two endpoints of version v1 and one of version v2, started later.
 fn divided(mode: VersionMode) -> Dispatcher {
     let rule = VersionRule { mode, excluded: vec![] };
     let new = EndpointRecord { version: "v2".into(), incarnation: 50, ..record("new", 100) };
@@ -15,7 +15,7 @@
     dispatcher
 }
 
-/// Sends requests one after the other; returns how many went to the new version.
+/// Sends requests one after the other. Returns how many went to the new version.
 fn placed_new(dispatcher: &mut Dispatcher, count: u64) -> usize {
     let mut new = 0;
     for number in 1..=count {
@@ -40,7 +40,7 @@
         let mut dispatcher = divided(split(share));
         let new = placed_new(&mut dispatcher, 1_000);
         expect_that!(new, all![ge(expected * 9 / 10), le(expected)], "share {share}");
-        // What was seen of both versions is passed on to be compared.
+        // Samples of both versions are recorded for the comparison.
         expect_that!(dispatcher.take_samples().len(), eq(1_000));
     }
 }
@@ -59,7 +59,7 @@
 }
 
 #[gtest]
-fn a_version_that_was_taken_back_gets_nothing() {
+fn an_excluded_version_gets_no_requests() {
     for mode in [VersionMode::Any, split(1.0)] {
         let mut dispatcher = divided(mode.clone());
         let rule = VersionRule { mode, excluded: vec!["v2".into()] };
@@ -81,7 +81,7 @@
 }
 
 #[gtest]
-fn what_was_seen_is_bounded_where_nobody_takes_it() {
+fn samples_are_limited_if_they_are_not_taken() {
     let mut dispatcher = divided(split(0.5));
     placed_new(&mut dispatcher, 10_000);
     expect_that!(dispatcher.take_samples().len(), lt(5_000));
