--- a/crates/dispatch/src/dispatcher/mod.rs
+++ b/crates/dispatch/src/dispatcher/mod.rs
@@ -338,13 +338,12 @@
         );
     }
 
-    /// Restores the requests that an instance has running on endpoints, placed by an earlier
-    /// dispatcher.
-    pub fn restore_in_flight(&mut self, now_ms: u64, instance: u32, in_flight: &[InFlight]) {
+    /// Records requests of an instance that another dispatcher has placed on endpoints.
+    pub fn record_in_flight(&mut self, now_ms: u64, instance: u32, in_flight: &[InFlight]) {
         for request in in_flight {
             let Some(key) = self.by_name.get(&request.endpoint) else { continue };
             let job_id = JobId { instance, number: request.number };
-            self.endpoints[*key].restore(now_ms, job_id, request.memory_tokens);
+            self.endpoints[*key].add_external(now_ms, job_id, request.memory_tokens);
             // The rank is not reported; the earlier samples that it would be compared with are
             // unknown as well.
             let placed = PlacedJob { endpoint: *key, is_stream: request.is_stream, rank: 0 };
--- a/crates/dispatch/src/endpoints/mod.rs
+++ b/crates/dispatch/src/endpoints/mod.rs
@@ -149,7 +149,7 @@
     }
 
     /// Records a request that was placed on the endpoint by another dispatcher.
-    pub fn restore(&mut self, now_ms: u64, job_id: JobId, memory_tokens: u64) {
+    pub fn add_external(&mut self, now_ms: u64, job_id: JobId, memory_tokens: u64) {
         self.add(job_id, Running { memory_tokens, expected_ms: 0.0, since_ms: now_ms });
     }
 
--- a/crates/dispatch/tests/dispatch/placement.rs
+++ b/crates/dispatch/tests/dispatch/placement.rs
@@ -46,7 +46,7 @@
     let mut dispatcher = dispatcher(&[record("a", 1)]);
     let running =
         InFlight { number: 9, endpoint: "a".into(), memory_tokens: 1_000, is_stream: true };
-    dispatcher.restore_in_flight(5, 1, &[running]);
+    dispatcher.record_in_flight(5, 1, &[running]);
     dispatcher.submit(10, job(1));
     expect_that!(placed(&mut dispatcher), is_empty());
     dispatcher.forget_instance(20, 1);
--- a/crates/peer/src/entry/placement.rs
+++ b/crates/peer/src/entry/placement.rs
@@ -340,7 +340,7 @@
             let own = std::slice::from_ref(&in_flight);
             let now_ms = self.clock.now_ms();
             let mut local = self.local.borrow_mut();
-            local.restore_in_flight(now_ms, job.job_id.instance, own);
+            local.record_in_flight(now_ms, job.job_id.instance, own);
             local.record_usage(now_ms, job);
         }
         self.placed.borrow_mut().insert(job.job_id.number, in_flight);
--- a/crates/peer/src/node/placing.rs
+++ b/crates/peer/src/node/placing.rs
@@ -189,7 +189,7 @@
         spdlog::info!("instance entered", kv: { instance: = instance, number, in_flight = count });
         let connection = key.connection;
         placing.sessions.insert(number, Session { instance, connection, heard_ms: now_ms });
-        placing.dispatcher.restore_in_flight(now_ms, number, in_flight);
+        placing.dispatcher.record_in_flight(now_ms, number, in_flight);
         placing.dispatcher.restore_usage(now_ms, number, usage);
         Some(key)
     }
