--- a/crates/dispatch/tests/dispatch/share.rs
+++ b/crates/dispatch/tests/dispatch/share.rs
@@ -1,11 +1,11 @@
-//! Replays of load without a leader: many dispatchers that know nothing of each other.
+//! Replays of load without a leader: many dispatchers that do not communicate.
 
 use crate::replay::{document, job, record};
 use googletest::prelude::*;
-use lycheehub_dispatch::{Decision, Dispatcher, Job, Options, Ticket};
+use lycheehub_dispatch::{Decision, Dispatcher, Job, JobId, Options};
 use std::collections::BTreeMap;
 
-/// Lets each of so many dispatchers place all that it can; returns how much each endpoint got.
+/// Lets every dispatcher place as many jobs as it can. Returns the number of jobs per endpoint.
 fn placed(instances: u32, endpoints: usize, slots: u32) -> BTreeMap<String, usize> {
     let records: Vec<_> = (0..endpoints).map(|n| record(&format!("i-{n}"), slots)).collect();
     let mut placed = BTreeMap::new();
@@ -15,11 +15,11 @@
 
         let options = Options { slot_share: share, slot_salt, ..Options::default() };
         let mut dispatcher = Dispatcher::new(options);
-        dispatcher.take_document(1, &document(None));
-        dispatcher.take_endpoints(1, records.iter());
+        dispatcher.set_document(1, &document(None));
+        dispatcher.set_endpoints(1, records.iter());
         for number in 0..500 {
-            let ticket = Ticket { instance, number };
-            dispatcher.submit(1_000, Job { ticket, ..job(0) });
+            let job_id = JobId { instance, number };
+            dispatcher.submit(1_000, Job { job_id, ..job(0) });
         }
         for decision in dispatcher.take_decisions() {
             if let Decision::Place { endpoint, .. } = decision {
@@ -34,7 +34,7 @@
 fn endpoints_get_about_what_they_can_run_from_many_instances() {
     let placed = placed(67, 90, 7);
     let all: usize = placed.values().sum();
-    // Within a fifth of all slots, and no endpoint with more than twice its own.
+    // Within a fifth of all slots, and no endpoint above about twice its own.
     expect_that!(all, all![ge(504), le(756)]);
     expect_that!(placed.values().max(), some(le(&15)));
 }
@@ -46,15 +46,15 @@
 }
 
 #[gtest]
-fn a_service_of_short_requests_gets_some_ahead() {
+fn a_service_of_short_requests_is_oversubscribed() {
     let mut plain = document(None);
     plain.services[0].engine = None;
     let mut dispatcher = Dispatcher::new(Options::default());
-    dispatcher.take_document(1, &plain);
-    dispatcher.take_endpoints(1, [record("i", 6)].iter());
+    dispatcher.set_document(1, &plain);
+    dispatcher.set_endpoints(1, [record("i", 6)].iter());
     for number in 0..40 {
-        let ticket = Ticket { instance: 1, number };
-        dispatcher.submit(1_000, Job { ticket, output_tokens: 0, ..job(0) });
+        let job_id = JobId { instance: 1, number };
+        dispatcher.submit(1_000, Job { job_id, output_tokens: 0, ..job(0) });
     }
     let placed = dispatcher.take_decisions().into_iter();
     expect_that!(placed.filter(|it| matches!(it, Decision::Place { .. })).count(), eq(8));
