--- a/crates/route/src/endpoint/breaker.rs
+++ b/crates/route/src/endpoint/breaker.rs
@@ -1,19 +1,20 @@
-//! The circuit breaker of an endpoint.
+//! The circuit breaker of one endpoint.
 
-/// Failures in a row that open the breaker.
+/// The number of consecutive failures that opens the breaker.
 const FAILURES_MAX: u32 = 3;
-/// The first time that the breaker stays open, in milliseconds; it doubles with each failed trial.
+/// How long the breaker first stays open, in milliseconds; doubles with each failed probe request.
 const OPEN_MIN_MS: u64 = 1_000;
-/// The longest time that the breaker stays open, in milliseconds.
+/// The maximum time that the breaker stays open, in milliseconds.
 const OPEN_MAX_MS: u64 = 30_000;
 
-/// Keeps requests away from an endpoint that fails, and lets single trials through.
+/// Blocks requests to a failing endpoint, and admits one probe request at a time once the open time
+/// has passed.
 ///
 /// # Examples
 /// ```
 /// let mut breaker = lycheehub_route::endpoint::Breaker::default();
 /// for _ in 0..3 {
-///     breaker.failed(0);
+///     breaker.record_failure(0);
 /// }
 /// assert!(!breaker.allows(500, 0));
 /// assert!(breaker.allows(1_000, 0));
@@ -26,7 +27,7 @@
 }
 
 impl Breaker {
-    /// Tells whether a request may go through while `in_flight` others run.
+    /// Returns whether a request may be sent while `in_flight` others are running.
     pub fn allows(&self, now_ms: u64, in_flight: u32) -> bool {
         if self.failures < FAILURES_MAX {
             return true;
@@ -34,13 +35,13 @@
         now_ms >= self.open_until_ms && in_flight == 0
     }
 
-    /// Notes an answer.
-    pub fn answered(&mut self) {
+    /// Records a complete answer, which closes the breaker.
+    pub fn record_success(&mut self) {
         *self = Self::default();
     }
 
-    /// Notes a failure.
-    pub fn failed(&mut self, now_ms: u64) {
+    /// Records a failure.
+    pub fn record_failure(&mut self, now_ms: u64) {
         self.failures = self.failures.saturating_add(1);
         if self.failures >= FAILURES_MAX {
             let doublings = (self.failures - FAILURES_MAX).min(8);
--- a/crates/route/src/job.rs
+++ b/crates/route/src/job.rs
@@ -1,4 +1,4 @@
-//! Requests as the scheduler sees them, and what it decides of them.
+//! The scheduler's view of a request, and its decisions about it.
 
 use crate::EndpointKey;
 use lycheehub_types::{AccountName, EndpointName, Refusal, Route, ServiceName, Tier, Version};
@@ -6,88 +6,88 @@
 use smol_str::SmolStr;
 
 new_key_type! {
-    /// The key of a request that waits or runs.
+    /// Identifies a waiting or running request.
     pub struct JobKey;
 }
 
-/// A request as the scheduler sees it.
+/// The properties of a request that scheduling depends on.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Job {
-    /// The service.
+    /// The service that is requested.
     pub service: ServiceName,
-    /// The route below the service.
+    /// The route within the service.
     pub route: Route,
-    /// The tier.
+    /// The priority tier.
     pub tier: Tier,
     /// The client account.
     pub account: AccountName,
-    /// The account's weight against others of its tier.
+    /// The account's fair-queueing weight among the accounts of its tier.
     pub weight: u32,
     /// The prompt's length in tokens.
     pub prompt_tokens: u64,
-    /// The most tokens that may be generated.
+    /// The maximum number of tokens to generate.
     pub max_tokens: u64,
-    /// Digests of the prompt's leading blocks, each covering all blocks before it.
+    /// Chained digests of the prompt's leading blocks; each also covers all blocks before it.
     pub prefix: Vec<u64>,
-    /// When the answer must be complete, in milliseconds by the local clock.
+    /// The time by which the answer must be complete, in milliseconds of the local clock.
     pub deadline_ms: u64,
 }
 
-/// Where a request is to run.
+/// The endpoint that a request is dispatched to, and why it was chosen.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Assignment {
     /// The endpoint's key.
     pub endpoint: EndpointKey,
     /// The endpoint's name.
     pub name: EndpointName,
-    /// Where the endpoint listens, as `address:port`.
+    /// The endpoint's listening address, as `address:port`.
     pub address: SmolStr,
-    /// The version that it serves.
+    /// The version that the endpoint serves.
     pub version: Version,
-    /// All endpoints that were compared.
+    /// All endpoints whose scores were compared.
     pub candidates: Vec<Candidate>,
-    /// Why this one was taken.
+    /// The rule by which the endpoint was chosen.
     pub reason: &'static str,
     /// How long the request waited, in milliseconds.
     pub waited_ms: u64,
 }
 
-/// An endpoint that was compared, for the log.
+/// The score of an endpoint that was considered for a request, for the log.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Candidate {
-    /// The endpoint.
+    /// The endpoint's name.
     pub name: EndpointName,
-    /// The time that the request would take there, in milliseconds.
+    /// The expected time of the request at this endpoint, in milliseconds.
     pub score_ms: u64,
-    /// The prompt's tokens that it is believed to have cached.
+    /// The estimated number of prompt tokens that are in the endpoint's prefix cache.
     pub cached_tokens: u64,
-    /// Requests of this instance that run there.
+    /// Requests that this instance has in flight at the endpoint.
     pub in_flight: u32,
 }
 
-/// What is to be done with a request.
+/// What the caller of the scheduler must do with a request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Decision {
-    /// Dispatch it.
+    /// Send the request to the assigned endpoint.
     Dispatch(JobKey, Assignment),
-    /// Give it up, with its final answer.
+    /// Answer the request with this refusal; the scheduler has dropped it.
     Refuse(JobKey, Refusal),
 }
 
-/// How a dispatch ended.
+/// How an attempt at an endpoint ended.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Outcome {
     /// The endpoint answered in full.
     Answered {
-        /// Generated tokens.
+        /// The number of generated tokens.
         tokens: u64,
-        /// The time to the first token, in milliseconds; nothing where the answer came whole.
+        /// The time to the first token, in milliseconds; `None` if the answer was not streamed.
         first_token_ms: Option<f64>,
         /// The time to the last token, in milliseconds.
         total_ms: f64,
     },
-    /// The endpoint failed.
+    /// The endpoint failed to answer.
     Failed,
-    /// The caller left.
+    /// The caller disconnected before the answer was complete.
     Cancelled,
 }
--- a/crates/route/src/lib.rs
+++ b/crates/route/src/lib.rs
@@ -1,12 +1,12 @@
 //! Pure routing decisions: admission, tier queues, slots, endpoint choice, retries and versions.
 //!
-//! [`Scheduler`] takes the time and an event and returns [`Decision`]s. It holds no clock, socket
-//! or thread. Its parts are usable alone:
+//! [`Scheduler`] is called with the current time and an event and returns [`Decision`]s. It holds
+//! no clock, socket or thread. Its parts can be used separately:
 //!
-//! * [`queue`] orders what waits, by tier and fairly between client accounts.
-//! * [`endpoint`] holds what is known of each endpoint: speed, prefix cache, circuit breaker.
-//! * [`retry`] limits retries.
-//! * [`versions`] shares traffic between versions and stops a bad one.
+//! * [`queue`] orders waiting requests by tier, and fairly between client accounts of one tier.
+//! * [`endpoint`] holds the state of each endpoint: speed, cached prompt prefixes, circuit breaker.
+//! * [`retry`] limits retries by a budget.
+//! * [`versions`] splits traffic between two versions and stops sending to a failing one.
 //! * [`work`] estimates how long requests take.
 #![deny(missing_docs, rust_2018_idioms)]
 #![forbid(unsafe_code)]
--- a/crates/route/src/options.rs
+++ b/crates/route/src/options.rs
@@ -1,29 +1,31 @@
-//! The scheduler's limits.
+//! Options of the scheduler.
 
-/// How endpoints are chosen.
+/// The load-balancing policy that chooses an endpoint for a request.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Policy {
-    /// By the expected time, with prefix affinity.
+    /// The endpoint with the shortest expected time, with prefix affinity.
     #[default]
     ExpectedTime,
-    /// At random; a baseline for measurements.
+    /// A random endpoint; a baseline for measurements.
     Random,
-    /// In turn; a baseline for measurements.
+    /// Round robin; a baseline for measurements.
     RoundRobin,
-    /// Least requests in flight; a baseline for measurements.
+    /// The endpoint with the fewest requests in flight; a baseline for measurements.
     LeastInFlight,
 }
 
-/// The scheduler's limits.
+/// Options of the scheduler.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Options {
-    /// The most requests that wait for one service.
+    /// The maximum number of waiting requests per service.
     pub queue_max: usize,
-    /// How long a shed floor holds after the last request was shed, in milliseconds.
+    /// How long a shed floor (the lowest tier admitted) stays in force after the last request was
+    /// shed, in milliseconds.
     pub floor_ms: u64,
-    /// How endpoints are chosen.
+    /// The load-balancing policy.
     pub policy: Policy,
-    /// Whether tiers count; without them all requests are of one tier, a baseline.
+    /// Whether requests are scheduled by tier. `false` puts all requests in the lowest tier; a
+    /// baseline for measurements.
     pub tiers: bool,
 }
 
--- a/crates/route/src/queue.rs
+++ b/crates/route/src/queue.rs
@@ -1,24 +1,27 @@
-//! What waits for one service: by tier, and within a tier fairly between client accounts.
+//! The queue of one service: priority tiers, and weighted fair queueing between the client accounts
+//! of a tier.
 
 use crate::JobKey;
 use lycheehub_types::{AccountName, Tier};
 use std::collections::{BTreeMap, VecDeque};
 
-/// The requests of one tier.
+/// The weighted fair queue of one tier.
 #[derive(Clone, Debug, Default)]
-struct Lane {
+struct FairQueue {
     accounts: BTreeMap<AccountName, AccountQueue>,
-    /// The service that the account served last had received, the start for accounts that come.
+    /// The highest `normalized_work` at which an account was served. An account whose queue was
+    /// empty continues from at least this value, so that idle time earns no credit.
     virtual_time: f64,
     waiting: usize,
 }
 
 #[derive(Clone, Debug, Default)]
 struct AccountQueue {
+    /// Waiting requests with their work in milliseconds, next one first.
     jobs: VecDeque<(JobKey, f64)>,
     weight: f64,
-    /// The work received, divided by the weight.
-    received: f64,
+    /// The work charged to the account, divided by its weight.
+    normalized_work: f64,
 }
 
 /// The queue of one service.
@@ -34,23 +37,24 @@
 /// let mut queue = TierQueue::default();
 /// queue.push(low, Tier::LOWEST, &"a".into(), 1, 10.0);
 /// queue.push(high, Tier::HIGHEST, &"a".into(), 1, 10.0);
-/// assert_eq!(queue.pop_newest_of_lowest(), Some((low, Tier::LOWEST)));
+/// assert_eq!(queue.pop_newest_of_lowest_tier(), Some((low, Tier::LOWEST)));
 /// assert_eq!(queue.peek(), Some(high));
 /// ```
 #[derive(Clone, Debug, Default)]
 pub struct TierQueue {
-    lanes: BTreeMap<Tier, Lane>,
+    tiers: BTreeMap<Tier, FairQueue>,
+    /// All waiting requests, oldest first.
     arrivals: VecDeque<(JobKey, Tier)>,
 }
 
 impl TierQueue {
     /// Adds a request of `work` milliseconds at the end of its account's queue.
     pub fn push(&mut self, key: JobKey, tier: Tier, account: &AccountName, weight: u32, work: f64) {
-        self.queue_of(tier, account, weight).jobs.push_back((key, work));
+        self.queue_for_push(tier, account, weight).jobs.push_back((key, work));
         self.arrivals.push_back((key, tier));
     }
 
-    /// Puts a request that was taken back in front of its account's queue.
+    /// Returns a dispatched request to the front of its account's queue and refunds its work.
     pub fn push_front(
         &mut self,
         key: JobKey,
@@ -59,123 +63,141 @@
         weight: u32,
         work: f64,
     ) {
-        let queue = self.queue_of(tier, account, weight);
+        let queue = self.queue_for_push(tier, account, weight);
         queue.jobs.push_front((key, work));
-        queue.received -= work / queue.weight;
+        queue.normalized_work -= work / queue.weight;
         self.arrivals.push_front((key, tier));
     }
 
-    fn queue_of(&mut self, tier: Tier, account: &AccountName, weight: u32) -> &mut AccountQueue {
-        let lane = self.lanes.entry(tier).or_default();
-        lane.waiting += 1;
-        let queue = lane.accounts.entry(account.clone()).or_default();
+    /// Returns the queue that a request is about to be added to, and counts the request as waiting.
+    fn queue_for_push(
+        &mut self,
+        tier: Tier,
+        account: &AccountName,
+        weight: u32,
+    ) -> &mut AccountQueue {
+        let tier_queue = self.tiers.entry(tier).or_default();
+        tier_queue.waiting += 1;
+        let queue = tier_queue.accounts.entry(account.clone()).or_default();
         queue.weight = f64::from(weight.max(1));
         if queue.jobs.is_empty() {
-            queue.received = queue.received.max(lane.virtual_time);
+            queue.normalized_work = queue.normalized_work.max(tier_queue.virtual_time);
         }
         queue
     }
 
-    /// Returns the request that is next: of the highest tier, of the account that received least.
+    /// Returns the next request: in the highest waiting tier, from the account with the least
+    /// normalized work.
     pub fn peek(&self) -> Option<JobKey> {
-        let lane = self.lanes.values().rev().find(|lane| lane.waiting > 0)?;
-        let account = lane.next_account()?;
-        lane.accounts.get(account)?.jobs.front().map(|(key, _)| *key)
+        let tier_queue = self.tiers.values().rev().find(|tier_queue| tier_queue.waiting > 0)?;
+        let account = tier_queue.next_account()?;
+        tier_queue.accounts.get(account)?.jobs.front().map(|(key, _)| *key)
     }
 
     /// Returns the next request of each tier, highest first.
     pub fn heads(&self) -> impl Iterator<Item = JobKey> + '_ {
-        self.lanes.values().rev().filter_map(|lane| {
-            let account = lane.next_account()?;
-            lane.accounts.get(account)?.jobs.front().map(|(key, _)| *key)
+        self.tiers.values().rev().filter_map(|tier_queue| {
+            let account = tier_queue.next_account()?;
+            tier_queue.accounts.get(account)?.jobs.front().map(|(key, _)| *key)
         })
     }
 
-    /// Removes a request that is dispatched, and charges its account for the work.
-    pub fn take(&mut self, key: JobKey, tier: Tier, account: &AccountName) -> bool {
-        self.remove_and(key, tier, account, true)
+    /// Removes a request to dispatch it, and charges its work to the account.
+    pub fn dequeue(&mut self, key: JobKey, tier: Tier, account: &AccountName) -> bool {
+        self.remove_entry(key, tier, account, true)
     }
 
-    /// Removes a request that is given up.
+    /// Removes a request that is refused or cancelled, without charging its account.
     pub fn remove(&mut self, key: JobKey, tier: Tier, account: &AccountName) -> bool {
-        self.remove_and(key, tier, account, false)
+        self.remove_entry(key, tier, account, false)
     }
 
-    fn remove_and(&mut self, key: JobKey, tier: Tier, account: &AccountName, charge: bool) -> bool {
-        let Some(lane) = self.lanes.get_mut(&tier) else { return false };
-        let Some(queue) = lane.accounts.get_mut(account) else { return false };
-        let Some(at) = queue.jobs.iter().position(|(job, _)| *job == key) else { return false };
-        let Some((_, work)) = queue.jobs.remove(at) else { return false };
-        lane.waiting -= 1;
+    fn remove_entry(
+        &mut self,
+        key: JobKey,
+        tier: Tier,
+        account: &AccountName,
+        charge: bool,
+    ) -> bool {
+        let Some(tier_queue) = self.tiers.get_mut(&tier) else { return false };
+        let Some(queue) = tier_queue.accounts.get_mut(account) else { return false };
+        let Some(index) = queue.jobs.iter().position(|(job, _)| *job == key) else { return false };
+        let Some((_, work)) = queue.jobs.remove(index) else { return false };
+        tier_queue.waiting -= 1;
         if charge {
-            lane.virtual_time = lane.virtual_time.max(queue.received);
-            queue.received += work / queue.weight;
+            tier_queue.virtual_time = tier_queue.virtual_time.max(queue.normalized_work);
+            queue.normalized_work += work / queue.weight;
         }
-        lane.forget_idle();
-        if let Some(at) = self.arrivals.iter().rposition(|(job, _)| *job == key) {
-            self.arrivals.remove(at);
+        tier_queue.remove_idle_accounts();
+        if let Some(index) = self.arrivals.iter().rposition(|(job, _)| *job == key) {
+            self.arrivals.remove(index);
         }
         true
     }
 
-    /// Returns the newest request of the lowest tier that waits.
-    pub fn newest_of_lowest(&self) -> Option<(JobKey, Tier)> {
-        let lowest = self.lowest()?;
+    /// Returns the newest waiting request of the lowest waiting tier.
+    pub fn newest_of_lowest_tier(&self) -> Option<(JobKey, Tier)> {
+        let lowest = self.lowest_tier()?;
         self.arrivals.iter().rev().find(|(_, tier)| *tier == lowest).copied()
     }
 
-    /// Removes and returns the newest request of the lowest tier that waits.
-    pub fn pop_newest_of_lowest(&mut self) -> Option<(JobKey, Tier)> {
-        let (key, tier) = self.newest_of_lowest()?;
-        let lane = self.lanes.get(&tier)?;
-        let holds = |queue: &AccountQueue| queue.jobs.iter().any(|(job, _)| *job == key);
-        let account = lane.accounts.iter().find(|(_, queue)| holds(queue))?.0.clone();
+    /// Removes and returns the newest waiting request of the lowest waiting tier.
+    pub fn pop_newest_of_lowest_tier(&mut self) -> Option<(JobKey, Tier)> {
+        let (key, tier) = self.newest_of_lowest_tier()?;
+        let tier_queue = self.tiers.get(&tier)?;
+        let contains_key = |queue: &AccountQueue| queue.jobs.iter().any(|(job, _)| *job == key);
+        let account = tier_queue.accounts.iter().find(|(_, queue)| contains_key(queue))?.0.clone();
         self.remove(key, tier, &account);
         Some((key, tier))
     }
 
-    /// Returns the lowest tier that waits.
-    pub fn lowest(&self) -> Option<Tier> {
-        self.lanes.iter().find(|(_, lane)| lane.waiting > 0).map(|(tier, _)| *tier)
+    /// Returns the lowest tier that has waiting requests.
+    pub fn lowest_tier(&self) -> Option<Tier> {
+        self.tiers.iter().find(|(_, tier_queue)| tier_queue.waiting > 0).map(|(tier, _)| *tier)
     }
 
-    /// Returns how many requests wait.
+    /// Returns the number of waiting requests.
     pub fn len(&self) -> usize {
         self.arrivals.len()
     }
 
-    /// Tells whether no request waits.
+    /// Returns whether no request is waiting.
     pub fn is_empty(&self) -> bool {
         self.arrivals.is_empty()
     }
 
-    /// Returns how many requests of `tier` wait.
+    /// Returns the number of waiting requests of `tier`.
     pub fn waiting(&self, tier: Tier) -> usize {
-        self.lanes.get(&tier).map_or(0, |lane| lane.waiting)
+        self.tiers.get(&tier).map_or(0, |tier_queue| tier_queue.waiting)
     }
 
-    /// Returns the work that goes before a new request of `tier`, in milliseconds.
+    /// Returns the work queued in `tier` and above, in milliseconds.
     pub fn work_ahead_ms(&self, tier: Tier) -> f64 {
-        let lanes = self.lanes.iter().filter(|(other, _)| **other >= tier);
-        let queues = lanes.flat_map(|(_, lane)| lane.accounts.values());
+        let tiers = self.tiers.iter().filter(|(other, _)| **other >= tier);
+        let queues = tiers.flat_map(|(_, tier_queue)| tier_queue.accounts.values());
         queues.flat_map(|queue| &queue.jobs).map(|(_, work)| work).sum()
     }
 
-    /// Returns all requests that wait, oldest first.
+    /// Returns all waiting requests, oldest first.
     pub fn iter(&self) -> impl Iterator<Item = (JobKey, Tier)> + '_ {
         self.arrivals.iter().copied()
     }
 }
 
-impl Lane {
+impl FairQueue {
+    /// Returns the account with waiting requests that has the least normalized work.
     fn next_account(&self) -> Option<&AccountName> {
         let waiting = self.accounts.iter().filter(|(_, queue)| !queue.jobs.is_empty());
-        waiting.min_by(|(_, a), (_, b)| a.received.total_cmp(&b.received)).map(|(name, _)| name)
+        waiting
+            .min_by(|(_, a), (_, b)| a.normalized_work.total_cmp(&b.normalized_work))
+            .map(|(name, _)| name)
     }
 
-    /// Forgets accounts that are owed nothing.
-    fn forget_idle(&mut self) {
+    /// Removes accounts without waiting requests, unless the work charged to them exceeds the
+    /// virtual time and must still count when they return.
+    fn remove_idle_accounts(&mut self) {
         let virtual_time = self.virtual_time;
-        self.accounts.retain(|_, queue| !queue.jobs.is_empty() || queue.received > virtual_time);
+        self.accounts
+            .retain(|_, queue| !queue.jobs.is_empty() || queue.normalized_work > virtual_time);
     }
 }
--- a/crates/route/src/retry.rs
+++ b/crates/route/src/retry.rs
@@ -1,36 +1,36 @@
-//! The retry budget: retries may be only a small part of all requests, so that a failure is not
-//! made worse by them.
+//! The retry budget: limits retries to a small fraction of all requests, so that they do not
+//! amplify an overload or an outage.
 
-/// What each first try adds to the budget, in retries.
-const EARNED_PER_REQUEST: f64 = 0.1;
-/// The most that the budget holds, in retries.
+/// The retries that each new request adds to the budget.
+const DEPOSIT_PER_REQUEST: f64 = 0.1;
+/// The maximum balance of the budget, in retries; also its initial balance.
 const BUDGET_MAX: f64 = 20.0;
 
-/// A budget of retries.
+/// A token bucket of retries that new requests refill.
 ///
 /// # Examples
 /// ```
-/// let mut budget = lycheehub_route::retry::Budget::default();
-/// let allowed = (0..100).filter(|_| budget.spend()).count();
+/// let mut budget = lycheehub_route::retry::RetryBudget::default();
+/// let allowed = (0..100).filter(|_| budget.try_withdraw()).count();
 /// assert_eq!(allowed, 20);
 /// ```
 #[derive(Clone, Copy, Debug)]
-pub struct Budget(f64);
+pub struct RetryBudget(f64);
 
-impl Default for Budget {
+impl Default for RetryBudget {
     fn default() -> Self {
         Self(BUDGET_MAX)
     }
 }
 
-impl Budget {
-    /// Adds what a first try earns.
-    pub fn earn(&mut self) {
-        self.0 = (self.0 + EARNED_PER_REQUEST).min(BUDGET_MAX);
+impl RetryBudget {
+    /// Adds the deposit of one new request.
+    pub fn deposit(&mut self) {
+        self.0 = (self.0 + DEPOSIT_PER_REQUEST).min(BUDGET_MAX);
     }
 
-    /// Takes one retry; tells whether the budget allowed it.
-    pub fn spend(&mut self) -> bool {
+    /// Withdraws one retry; returns `false` if the balance is too low.
+    pub fn try_withdraw(&mut self) -> bool {
         let allowed = self.0 >= 1.0;
         if allowed {
             self.0 -= 1.0;
--- a/crates/route/src/scheduler/admit.rs
+++ b/crates/route/src/scheduler/admit.rs
@@ -1,23 +1,26 @@
-//! Admission: which requests wait, and which are shed, lowest tier and newest first.
+//! Admission control: queues or refuses new requests, and sheds waiting ones, lowest tier and
+//! newest first.
 
 use super::{JobState, Pool, Scheduler};
 use crate::{Decision, Job, JobKey};
 use lycheehub_types::{Refusal, RefusalKind, ServiceName, Tier};
 
-/// The shortest time after which a refused caller is asked to come back, in milliseconds.
+/// The minimum retry-after time of a refusal for overload, in milliseconds.
 const RETRY_AFTER_MIN_MS: u64 = 500;
-/// The time after which a caller is asked to come back where no endpoint is live, in milliseconds.
-const NO_ENDPOINT_RETRY_MS: u64 = 2_000;
+/// The retry-after time of a refusal because no endpoint is live, in milliseconds.
+const NO_ENDPOINT_RETRY_AFTER_MS: u64 = 2_000;
 
 impl Scheduler {
-    /// Takes a new request; its own decision is among those returned, unless it waits.
+    /// Submits a new request.
+    ///
+    /// The returned decisions include the one about this request, unless it has to wait.
     pub fn submit(&mut self, now_ms: u64, mut job: Job) -> (JobKey, Vec<Decision>) {
         if !self.options.tiers {
             job.tier = Tier::LOWEST;
         }
         let service = job.service.clone();
         let pool = self.pools.entry(service.clone()).or_default();
-        pool.retries.earn();
+        pool.retry_budget.deposit();
         let work_ms = pool.work_ms(&job);
         let (tier, account, weight) = (job.tier, job.account.clone(), job.weight);
         let key = self.jobs.insert(JobState {
@@ -28,9 +31,9 @@
             running: None,
         });
         let mut decisions = Vec::new();
-        if let Some(refusal) = self.refusal(now_ms, &service, key) {
+        if let Some(refusal) = self.admission_refusal(now_ms, &service, key) {
             self.jobs.remove(key);
-            // What waits below a tier that is shed goes first.
+            // Waiting requests below the shed floor are refused before the new one.
             self.enforce_floor(now_ms, &service, &mut decisions);
             decisions.push(Decision::Refuse(key, refusal));
             return (key, decisions);
@@ -42,8 +45,13 @@
         (key, decisions)
     }
 
-    /// Tells why a new request is refused at once, if it is.
-    fn refusal(&mut self, now_ms: u64, service: &ServiceName, key: JobKey) -> Option<Refusal> {
+    /// Returns the refusal of a new request that must not be queued.
+    fn admission_refusal(
+        &mut self,
+        now_ms: u64,
+        service: &ServiceName,
+        key: JobKey,
+    ) -> Option<Refusal> {
         let pool = self.pools.get(service)?;
         let state = self.jobs.get(key)?;
         let tier = state.job.tier;
@@ -53,7 +61,11 @@
             .any(|key| self.endpoints.get(*key).is_some_and(|endpoint| endpoint.is_live(now_ms)));
         if !live {
             let message = format!("no endpoint of service {service} is live");
-            return Some(Refusal::retry(RefusalKind::NoEndpoint, message, NO_ENDPOINT_RETRY_MS));
+            return Some(Refusal::retry(
+                RefusalKind::NoEndpoint,
+                message,
+                NO_ENDPOINT_RETRY_AFTER_MS,
+            ));
         }
         let wait_ms = self.wait_ms(now_ms, service, tier);
         if pool.floor_at(now_ms).is_some_and(|floor| tier < floor) {
@@ -91,23 +103,23 @@
         (ahead_ms + typical_ms) / f64::from(slots.max(1))
     }
 
-    /// Notes that `tier` is shed: nothing lower is admitted for a while.
+    /// Raises the shed floor to `tier`, so that no lower tier is admitted for `floor_ms`.
     pub(super) fn raise_floor(&mut self, now_ms: u64, service: &ServiceName, tier: Tier) {
         let until_ms = now_ms + self.options.floor_ms;
         let Some(pool) = self.pools.get_mut(service) else { return };
-        let held = pool.floor.filter(|(_, until_ms)| now_ms < *until_ms);
-        let floor = held.map_or(tier, |(floor, _)| floor.max(tier));
+        let current = pool.floor.filter(|(_, until_ms)| now_ms < *until_ms);
+        let floor = current.map_or(tier, |(floor, _)| floor.max(tier));
         pool.floor = Some((floor, until_ms));
     }
 
-    /// Sheds what the queue has no room for.
+    /// Sheds waiting requests that exceed the queue limit.
     fn shed_overflow(&mut self, now_ms: u64, service: &ServiceName, decisions: &mut Vec<Decision>) {
         loop {
             let Some(pool) = self.pools.get_mut(service) else { return };
             if pool.queue.len() <= self.options.queue_max {
                 break;
             }
-            let Some((key, tier)) = pool.queue.pop_newest_of_lowest() else { break };
+            let Some((key, tier)) = pool.queue.pop_newest_of_lowest_tier() else { break };
             self.raise_floor(now_ms, service, tier);
             let wait_ms = self.wait_ms(now_ms, service, tier);
             self.jobs.remove(key);
@@ -116,7 +128,7 @@
         self.enforce_floor(now_ms, service, decisions);
     }
 
-    /// Sheds what waits below the floor, this instance's own or one heard from others.
+    /// Sheds waiting requests below the shed floor, be it this instance's own or the view's.
     pub(super) fn enforce_floor(
         &mut self,
         now_ms: u64,
@@ -127,20 +139,21 @@
             return;
         };
         while let Some(pool) = self.pools.get_mut(service) {
-            if pool.queue.lowest().is_none_or(|lowest| lowest >= floor) {
+            if pool.queue.lowest_tier().is_none_or(|lowest| lowest >= floor) {
                 return;
             }
-            let Some((key, tier)) = pool.queue.pop_newest_of_lowest() else { return };
+            let Some((key, tier)) = pool.queue.pop_newest_of_lowest_tier() else { return };
             let wait_ms = self.wait_ms(now_ms, service, tier);
             self.jobs.remove(key);
             decisions.push(Decision::Refuse(key, overloaded(tier, wait_ms)));
         }
     }
 
-    /// Gives up requests that wait and can no longer make their deadline.
+    /// Refuses waiting requests that can no longer meet their deadline.
     ///
-    /// A request is given up only together with all that wait below its tier.
-    pub(super) fn give_up_late(
+    /// All waiting requests of lower tiers are shed with them, so that no tier is shed while a
+    /// lower one waits.
+    pub(super) fn refuse_late(
         &mut self,
         now_ms: u64,
         service: &ServiceName,
@@ -169,15 +182,15 @@
 }
 
 impl Pool {
-    /// Returns the expected time of a request, in milliseconds.
+    /// Returns the expected duration of a request, in milliseconds.
     pub(super) fn work_ms(&self, job: &Job) -> f64 {
-        self.speed.request_ms(job.prompt_tokens, self.lengths.expected_tokens(job.max_tokens))
+        self.speed.request_ms(job.prompt_tokens, self.length_ratio.expected_tokens(job.max_tokens))
     }
 
-    /// Returns the lowest tier admitted at `now_ms`.
+    /// Returns the shed floor in force at `now_ms`: the lowest tier admitted.
     pub(super) fn floor_at(&self, now_ms: u64) -> Option<Tier> {
         let own = self.floor.filter(|(_, until_ms)| now_ms < *until_ms).map(|(floor, _)| floor);
-        own.max(self.heard_floor)
+        own.max(self.remote_floor)
     }
 }
 
--- a/crates/route/src/scheduler/choose.rs
+++ b/crates/route/src/scheduler/choose.rs
@@ -1,4 +1,4 @@
-//! Endpoint choice.
+//! Endpoint choice: samples a few open endpoints and takes the one with the least expected time.
 
 use super::Scheduler;
 use crate::endpoint::BLOCK_TOKENS;
@@ -7,33 +7,34 @@
 use rand::Rng;
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-/// How many endpoints are drawn for comparison, besides the one with the longest cached prefix and
-/// the prefix's home.
-const DRAWN: usize = 2;
-/// How much of a prompt's prefix is taken to be cached at its home, where other instances send it
-/// too, in thousandths.
-const HOME_CACHED_PERMILLE: u64 = 500;
-/// How many leading blocks decide a prompt's home.
-const HOME_BLOCKS: usize = 4;
+/// How many endpoints are sampled at random, besides the one with the longest cached prefix and the
+/// prefix's affinity endpoint.
+const RANDOM_SAMPLES: usize = 2;
+/// The part of a prompt's prefix that is assumed to be cached at its affinity endpoint, where other
+/// instances send it too, in thousandths.
+const AFFINITY_CACHED_PERMILLE: u64 = 500;
+/// How many leading blocks determine a prompt's affinity endpoint.
+const AFFINITY_BLOCKS: usize = 4;
 
+/// An endpoint with its expected time for the request.
 #[derive(Clone, Copy, Debug)]
-struct Scored {
+struct ScoredEndpoint {
     endpoint: EndpointKey,
     score_ms: f64,
     cached_tokens: u64,
 }
 
 impl Scheduler {
-    /// Chooses an endpoint for a request that waits, if one is open to it.
+    /// Chooses an endpoint for a waiting request; returns `None` if no endpoint is open to it.
     pub(super) fn choose(&mut self, now_ms: u64, key: JobKey) -> Option<Assignment> {
         let state = self.jobs.get(key)?;
         let pool = self.pools.get(&state.job.service)?;
-        let preference = pool.versions.prefer(&state.job.route)?;
-        let mut open = self.open_endpoints(now_ms, key, &preference.first);
+        let preference = pool.split.preference(&state.job.route)?;
+        let mut open = self.open_endpoints(now_ms, key, &preference.preferred);
         if open.is_empty()
-            && let Some(second) = &preference.second
+            && let Some(fallback) = &preference.fallback
         {
-            open = self.open_endpoints(now_ms, key, second);
+            open = self.open_endpoints(now_ms, key, fallback);
         }
         self.choose_among(now_ms, key, &open)
     }
@@ -47,15 +48,18 @@
         if open.is_empty() {
             return None;
         }
-        let (compared, reason) = match self.options.policy {
-            Policy::ExpectedTime => (self.draw(now_ms, key, open), "least expected time"),
+        let (considered, reason) = match self.options.policy {
+            Policy::ExpectedTime => {
+                (self.sample_endpoints(now_ms, key, open), "least expected time")
+            }
             Policy::Random => (vec![open[self.rng.random_range(0..open.len())]], "random"),
-            Policy::RoundRobin => (vec![self.next_in_turn(key, open)?], "in turn"),
+            Policy::RoundRobin => (vec![self.round_robin(key, open)?], "in turn"),
             Policy::LeastInFlight => (vec![self.least_in_flight(open)?], "least in flight"),
         };
-        let home = self.home(key, &self.pools.get(&self.jobs.get(key)?.job.service)?.endpoints);
-        let score = |endpoint| self.score(now_ms, key, endpoint, home == Some(endpoint));
-        let scored: Vec<Scored> = compared.into_iter().filter_map(score).collect();
+        let affinity = self
+            .affinity_endpoint(key, &self.pools.get(&self.jobs.get(key)?.job.service)?.endpoints);
+        let score = |endpoint| self.score(now_ms, key, endpoint, affinity == Some(endpoint));
+        let scored: Vec<ScoredEndpoint> = considered.into_iter().filter_map(score).collect();
         let best = scored.iter().min_by(|a, b| a.score_ms.total_cmp(&b.score_ms))?.endpoint;
         let endpoint = self.endpoints.get(best)?;
         let state = self.jobs.get(key)?;
@@ -64,16 +68,16 @@
             name: endpoint.record.endpoint.clone(),
             address: endpoint.record.address.clone(),
             version: endpoint.record.version.clone(),
-            candidates: scored.iter().filter_map(|scored| self.describe(scored)).collect(),
+            candidates: scored.iter().filter_map(|scored| self.candidate(scored)).collect(),
             reason,
             waited_ms: now_ms.saturating_sub(state.queued_ms),
         })
     }
 
-    /// Returns the endpoints of a version that may take the request now.
+    /// Returns the endpoints of a version that may receive the request now.
     ///
-    /// A version with a small share gets only as many endpoints as that share fills, so that each
-    /// carries the load that it will have after the move.
+    /// A candidate version uses only the part of its endpoints that equals its share of traffic, so
+    /// that each of them carries the load that it will have after the move.
     fn open_endpoints(&self, now_ms: u64, key: JobKey, version: &Version) -> Vec<EndpointKey> {
         let Some(state) = self.jobs.get(key) else { return Vec::new() };
         let Some(pool) = self.pools.get(&state.job.service) else { return Vec::new() };
@@ -83,11 +87,11 @@
             })
         };
         let mut serving: Vec<EndpointKey> = pool.endpoints.iter().filter(serves).copied().collect();
-        if let Some((candidate, share_permille)) = pool.versions.candidate()
+        if let Some((candidate, share_permille)) = pool.split.candidate()
             && candidate == version
         {
-            let filled = (serving.len() * share_permille as usize).div_ceil(1_000);
-            serving.truncate(filled.max(1));
+            let used = (serving.len() * share_permille as usize).div_ceil(1_000);
+            serving.truncate(used.max(1));
         }
         let open = |key: &EndpointKey| {
             self.endpoints.get(*key).is_some_and(|endpoint| {
@@ -98,51 +102,59 @@
         serving
     }
 
-    fn draw(&mut self, now_ms: u64, key: JobKey, open: &[EndpointKey]) -> Vec<EndpointKey> {
-        let mut drawn = Vec::with_capacity(DRAWN + 1);
-        for _ in 0..DRAWN {
+    /// Samples endpoints at random, and adds the one with the longest cached prefix and the
+    /// prefix's affinity endpoint.
+    fn sample_endpoints(
+        &mut self,
+        now_ms: u64,
+        key: JobKey,
+        open: &[EndpointKey],
+    ) -> Vec<EndpointKey> {
+        let mut sampled = Vec::with_capacity(RANDOM_SAMPLES + 1);
+        for _ in 0..RANDOM_SAMPLES {
             let endpoint = open[self.rng.random_range(0..open.len())];
-            if !drawn.contains(&endpoint) {
-                drawn.push(endpoint);
+            if !sampled.contains(&endpoint) {
+                sampled.push(endpoint);
             }
         }
-        let Some(state) = self.jobs.get(key) else { return drawn };
+        let Some(state) = self.jobs.get(key) else { return sampled };
         let cached = |endpoint: &EndpointKey| {
             let known = self.endpoints.get(*endpoint);
             known.map_or(0, |known| known.prefix.cached_tokens(now_ms, &state.job.prefix))
         };
-        let nearest = open.iter().copied().max_by_key(cached);
-        if let Some(nearest) = nearest
-            && cached(&nearest) > 0
-            && !drawn.contains(&nearest)
+        let longest_cached = open.iter().copied().max_by_key(cached);
+        if let Some(longest_cached) = longest_cached
+            && cached(&longest_cached) > 0
+            && !sampled.contains(&longest_cached)
         {
-            drawn.push(nearest);
+            sampled.push(longest_cached);
         }
-        if let Some(home) = self.home(key, open)
-            && !drawn.contains(&home)
+        if let Some(affinity) = self.affinity_endpoint(key, open)
+            && !sampled.contains(&affinity)
         {
-            drawn.push(home);
+            sampled.push(affinity);
         }
-        drawn
+        sampled
     }
 
-    /// Returns the endpoint that all instances prefer for a prompt's beginning, without a word
-    /// between them: the highest by a hash of both.
-    fn home(&self, key: JobKey, endpoints: &[EndpointKey]) -> Option<EndpointKey> {
+    /// Returns the affinity endpoint of a prompt's leading blocks, chosen by rendezvous hashing.
+    ///
+    /// All instances choose the same one for the same endpoints, without coordination.
+    fn affinity_endpoint(&self, key: JobKey, endpoints: &[EndpointKey]) -> Option<EndpointKey> {
         let prefix = &self.jobs.get(key)?.job.prefix;
-        let beginning = *prefix.get(..HOME_BLOCKS)?.last()?;
-        let rank = |endpoint: &EndpointKey| {
+        let leading_blocks = *prefix.get(..AFFINITY_BLOCKS)?.last()?;
+        let hash = |endpoint: &EndpointKey| {
             let name = self.endpoints.get(*endpoint).map(|known| known.record.endpoint.as_str());
-            xxh3_64_with_seed(name.unwrap_or("").as_bytes(), beginning)
+            xxh3_64_with_seed(name.unwrap_or("").as_bytes(), leading_blocks)
         };
-        endpoints.iter().copied().max_by_key(rank)
+        endpoints.iter().copied().max_by_key(hash)
     }
 
-    fn next_in_turn(&mut self, key: JobKey, open: &[EndpointKey]) -> Option<EndpointKey> {
+    fn round_robin(&mut self, key: JobKey, open: &[EndpointKey]) -> Option<EndpointKey> {
         let service = &self.jobs.get(key)?.job.service;
         let pool = self.pools.get_mut(service)?;
-        pool.next_in_turn += 1;
-        open.get(pool.next_in_turn % open.len()).copied()
+        pool.round_robin_index += 1;
+        open.get(pool.round_robin_index % open.len()).copied()
     }
 
     fn least_in_flight(&self, open: &[EndpointKey]) -> Option<EndpointKey> {
@@ -155,24 +167,24 @@
         now_ms: u64,
         key: JobKey,
         endpoint: EndpointKey,
-        is_home: bool,
-    ) -> Option<Scored> {
+        is_affinity: bool,
+    ) -> Option<ScoredEndpoint> {
         let job = &self.jobs.get(key)?.job;
         let known = self.endpoints.get(endpoint)?;
-        let lengths = self.pools.get(&job.service)?.lengths;
-        let believed = known.prefix.cached_tokens(now_ms, &job.prefix);
-        let at_home = if is_home {
-            job.prefix.len() as u64 * BLOCK_TOKENS * HOME_CACHED_PERMILLE / 1_000
+        let length_ratio = self.pools.get(&job.service)?.length_ratio;
+        let estimated = known.prefix.cached_tokens(now_ms, &job.prefix);
+        let assumed = if is_affinity {
+            job.prefix.len() as u64 * BLOCK_TOKENS * AFFINITY_CACHED_PERMILLE / 1_000
         } else {
             0
         };
-        let cached_tokens = believed.max(at_home).min(job.prompt_tokens);
-        let tokens = lengths.expected_tokens(job.max_tokens);
+        let cached_tokens = estimated.max(assumed).min(job.prompt_tokens);
+        let tokens = length_ratio.expected_tokens(job.max_tokens);
         let score_ms = known.expected_ms(job.prompt_tokens, cached_tokens, tokens);
-        Some(Scored { endpoint, score_ms, cached_tokens })
+        Some(ScoredEndpoint { endpoint, score_ms, cached_tokens })
     }
 
-    fn describe(&self, scored: &Scored) -> Option<Candidate> {
+    fn candidate(&self, scored: &ScoredEndpoint) -> Option<Candidate> {
         let endpoint = self.endpoints.get(scored.endpoint)?;
         Some(Candidate {
             name: endpoint.record.endpoint.clone(),
--- a/crates/route/src/scheduler/dispatch.rs
+++ b/crates/route/src/scheduler/dispatch.rs
@@ -1,14 +1,14 @@
-//! Dispatch: takes requests from the queue while endpoints have slots.
+//! Dispatches waiting requests while endpoints have free slots, and retries failed attempts.
 
 use super::{Running, Scheduler};
 use crate::{Assignment, Decision, JobKey};
 use lycheehub_types::{Refusal, RefusalKind, ServiceName};
 
-/// How often one request may be tried at other endpoints.
-const TRIES_MAX: usize = 3;
+/// The maximum number of attempts of one request, including the first.
+const ATTEMPTS_MAX: usize = 3;
 
 impl Scheduler {
-    /// Dispatches what waits, highest tier first, until no endpoint is open to it.
+    /// Dispatches waiting requests, highest tier first, until no endpoint is open to the next one.
     pub(super) fn dispatch_waiting(
         &mut self,
         now_ms: u64,
@@ -29,36 +29,43 @@
         let Some(pool) = self.pools.get_mut(service) else { return };
         let Some(endpoint) = self.endpoints.get_mut(assignment.endpoint) else { return };
         let job = &state.job;
-        pool.queue.take(key, job.tier, &job.account);
-        pool.versions.dispatched(&job.route, &assignment.version);
+        pool.queue.dequeue(key, job.tier, &job.account);
+        pool.split.record_dispatch(&job.route, &assignment.version);
         let cached_tokens = endpoint.prefix.cached_tokens(now_ms, &job.prefix);
         let prefill_tokens = job.prompt_tokens.saturating_sub(cached_tokens);
-        endpoint.prefix.note(now_ms, &job.prefix);
+        endpoint.prefix.record(now_ms, &job.prefix);
         endpoint.in_flight[usize::from(job.tier.rank())] += 1;
         let version = assignment.version.clone();
         state.running = Some(Running { endpoint: assignment.endpoint, version, prefill_tokens });
     }
 
-    /// Takes back a request and tries it elsewhere within the retry budget.
+    /// Ends a failed attempt, and retries the request at another endpoint within the retry budget.
     ///
-    /// `ran_to` is nothing where the request did not run, else how many tokens were relayed: the
-    /// request goes on from there.
-    pub fn retry(&mut self, now_ms: u64, key: JobKey, ran_to: Option<u64>) -> Vec<Decision> {
+    /// `progress_tokens` is `None` if the request did not run. Otherwise it is the number of tokens
+    /// already relayed to the caller; the next attempt continues after them.
+    pub fn retry(
+        &mut self,
+        now_ms: u64,
+        key: JobKey,
+        progress_tokens: Option<u64>,
+    ) -> Vec<Decision> {
         let mut decisions = Vec::new();
-        let Some(endpoint) = self.release(now_ms, key, ran_to.is_some()) else { return decisions };
-        let relayed_tokens = ran_to.unwrap_or(0);
+        let Some(endpoint) = self.release(now_ms, key, progress_tokens.is_some()) else {
+            return decisions;
+        };
+        let relayed_tokens = progress_tokens.unwrap_or(0);
         let excluded = self.endpoints.get(endpoint).map(|known| known.record.endpoint.clone());
         let Some(state) = self.jobs.get_mut(key) else { return decisions };
         state.excluded.extend(excluded);
         state.job.max_tokens = state.job.max_tokens.saturating_sub(relayed_tokens);
-        let tries = state.excluded.len();
+        let attempts = state.excluded.len();
         let job = state.job.clone();
         let Some(pool) = self.pools.get_mut(&job.service) else { return decisions };
-        let elsewhere =
+        let has_alternative =
             pool.endpoints.iter().filter_map(|key| self.endpoints.get(*key)).any(|known| {
                 known.is_live(now_ms) && !state.excluded.contains(&known.record.endpoint)
             });
-        if tries >= TRIES_MAX || !elsewhere || !pool.retries.spend() {
+        if attempts >= ATTEMPTS_MAX || !has_alternative || !pool.retry_budget.try_withdraw() {
             let work_ms = pool.work_ms(&job);
             self.jobs.remove(key);
             let message = "endpoints cannot be reached";
--- a/crates/route/src/scheduler/finish.rs
+++ b/crates/route/src/scheduler/finish.rs
@@ -1,4 +1,4 @@
-//! The end of requests: slots come free, speeds and versions are learned of.
+//! Ends attempts: frees slots, and updates speeds, breakers and version observations.
 
 use super::{Running, Scheduler};
 use crate::endpoint::BLOCK_TOKENS;
@@ -7,7 +7,7 @@
 use lycheehub_control::moves::{Observation, ObservationKey};
 
 impl Scheduler {
-    /// Ends a request that ran, and dispatches what waited for its slot.
+    /// Ends a request and dispatches waiting requests to the slot that it frees.
     pub fn finish(&mut self, now_ms: u64, key: JobKey, outcome: Outcome) -> Vec<Decision> {
         let Some(state) = self.jobs.get_mut(key) else { return Vec::new() };
         let service = state.job.service.clone();
@@ -15,14 +15,14 @@
             return self.cancel(now_ms, key);
         };
         self.free_slot(key, &running);
-        self.learn(now_ms, key, &running, outcome);
+        self.record_outcome(now_ms, key, &running, outcome);
         self.jobs.remove(key);
         let mut decisions = Vec::new();
         self.dispatch_waiting(now_ms, &service, &mut decisions);
         decisions
     }
 
-    /// Forgets a request whose caller left while it waited.
+    /// Removes a waiting request whose caller disconnected.
     fn cancel(&mut self, now_ms: u64, key: JobKey) -> Vec<Decision> {
         let Some(state) = self.jobs.remove(key) else { return Vec::new() };
         let mut decisions = Vec::new();
@@ -33,16 +33,17 @@
         decisions
     }
 
-    /// Frees the slot of a request that goes back to the queue; returns its endpoint.
+    /// Frees the slot of an attempt that is to be retried; returns the attempt's endpoint.
     ///
-    /// Where the request may have run, its failure counts against the endpoint and the version.
+    /// The failure counts against the endpoint, and if the request may have run, also against the
+    /// version.
     pub(super) fn release(&mut self, now_ms: u64, key: JobKey, ran: bool) -> Option<EndpointKey> {
         let running = self.jobs.get_mut(key)?.running.take()?;
         self.free_slot(key, &running);
         if ran {
-            self.learn(now_ms, key, &running, Outcome::Failed);
+            self.record_outcome(now_ms, key, &running, Outcome::Failed);
         } else if let Some(endpoint) = self.endpoints.get_mut(running.endpoint) {
-            endpoint.breaker.failed(now_ms);
+            endpoint.breaker.record_failure(now_ms);
         }
         Some(running.endpoint)
     }
@@ -55,7 +56,7 @@
         }
     }
 
-    fn learn(&mut self, now_ms: u64, key: JobKey, running: &Running, outcome: Outcome) {
+    fn record_outcome(&mut self, now_ms: u64, key: JobKey, running: &Running, outcome: Outcome) {
         let Some(state) = self.jobs.get(key) else { return };
         let job = &state.job;
         let Some(pool) = self.pools.get_mut(&job.service) else { return };
@@ -63,22 +64,22 @@
             Outcome::Cancelled => return,
             Outcome::Failed => {
                 if let Some(endpoint) = self.endpoints.get_mut(running.endpoint) {
-                    endpoint.breaker.failed(now_ms);
+                    endpoint.breaker.record_failure(now_ms);
                 }
                 Observation::failure()
             }
             Outcome::Answered { tokens, first_token_ms, total_ms } => {
-                pool.lengths.learn(job.max_tokens, tokens);
+                pool.length_ratio.learn(job.max_tokens, tokens);
                 if let Some(endpoint) = self.endpoints.get_mut(running.endpoint) {
-                    endpoint.breaker.answered();
+                    endpoint.breaker.record_success();
                     let prompt =
-                        Prompt { tokens: job.prompt_tokens, prefill: running.prefill_tokens };
-                    if prompt.was_misjudged(&endpoint.speed, first_token_ms) {
-                        endpoint.prefix.forget(&job.prefix);
-                    } else if prompt.tells_speed() {
+                        PromptTokens { total: job.prompt_tokens, prefill: running.prefill_tokens };
+                    if prompt.missed_cache(&endpoint.speed, first_token_ms) {
+                        endpoint.prefix.remove(&job.prefix);
+                    } else if prompt.is_speed_sample() {
                         let hardware = endpoint.record.hardware.clone();
-                        let hardware = pool.hardware.entry(hardware).or_default();
-                        for speed in [&mut endpoint.speed, &mut pool.speed, hardware] {
+                        let hardware_speed = pool.speed_by_hardware.entry(hardware).or_default();
+                        for speed in [&mut endpoint.speed, &mut pool.speed, hardware_speed] {
                             speed.learn(prompt.prefill, tokens, first_token_ms, total_ms);
                         }
                     }
@@ -91,36 +92,40 @@
             version: running.version.clone(),
             route: job.route.clone(),
         };
-        let trip = pool.versions.observe(&job.route, &running.version, observation);
+        let trip = pool.split.observe(&job.route, &running.version, observation);
         self.trips.extend(trip);
         *self.observations.entry(key).or_default() += observation;
     }
 }
 
-/// A prompt, and how much of it was taken to need prefill.
-struct Prompt {
-    tokens: u64,
+/// The number of tokens of a prompt, and how many of them were expected to need prefill.
+struct PromptTokens {
+    total: u64,
     prefill: u64,
 }
 
-impl Prompt {
-    /// Tells whether the first token came as late as if little of the prompt had been cached.
-    fn was_misjudged(&self, speed: &Speed, first_token_ms: Option<f64>) -> bool {
+impl PromptTokens {
+    /// Returns whether the first token came as late as if little of the prompt had been cached.
+    fn missed_cache(&self, speed: &Speed, first_token_ms: Option<f64>) -> bool {
         const CACHED_MIN: u64 = 2 * BLOCK_TOKENS;
-        const MISJUDGED: f64 = 0.7;
-        let cached = self.tokens - self.prefill.min(self.tokens);
-        let whole_ms = speed.request_ms(self.tokens, 0);
+        const MISS_RATIO: f64 = 0.7;
+        let cached = self.total - self.prefill.min(self.total);
+        let whole_ms = speed.request_ms(self.total, 0);
         cached >= CACHED_MIN
-            && first_token_ms.is_some_and(|first_ms| first_ms > MISJUDGED * whole_ms)
+            && first_token_ms.is_some_and(|first_ms| first_ms > MISS_RATIO * whole_ms)
     }
 
-    /// What was believed to be cached makes the time of the first token a bad measure of speed.
-    fn tells_speed(&self) -> bool {
-        self.prefill == self.tokens
+    /// Returns whether the attempt can be used to learn the speed.
+    ///
+    /// If part of the prompt was expected to be cached, the actual prefill length is uncertain, so
+    /// the time to the first token does not measure the speed.
+    fn is_speed_sample(&self) -> bool {
+        self.prefill == self.total
     }
 }
 
-/// A stream is timed between its tokens; an answer that came whole, over all of its tokens.
+/// Returns the observation of a complete answer: the mean time between tokens of a stream, or the
+/// total time per token of an answer that was not streamed.
 fn observation_of(tokens: u64, first_token_ms: Option<f64>, total_ms: f64) -> Observation {
     match first_token_ms {
         Some(first_token_ms) if tokens > 1 => {
--- a/crates/route/src/scheduler/mod.rs
+++ b/crates/route/src/scheduler/mod.rs
@@ -11,8 +11,8 @@
 
 use crate::endpoint::Endpoint;
 use crate::queue::TierQueue;
-use crate::retry::Budget;
-use crate::versions::Versions;
+use crate::retry::RetryBudget;
+use crate::versions::TrafficSplit;
 use crate::work::{LengthRatio, Speed};
 use crate::{Decision, EndpointKey, Job, JobKey, Options};
 use lycheehub_control::moves::Observations;
@@ -23,7 +23,7 @@
 use smol_str::SmolStr;
 use std::collections::BTreeMap;
 
-/// Decides for all requests of one instance.
+/// Schedules all requests of one instance.
 ///
 /// # Examples
 /// ```
@@ -37,39 +37,44 @@
     options: Options,
     pools: BTreeMap<ServiceName, Pool>,
     endpoints: SlotMap<EndpointKey, Endpoint>,
-    names: BTreeMap<EndpointName, EndpointKey>,
+    keys_by_name: BTreeMap<EndpointName, EndpointKey>,
     jobs: SlotMap<JobKey, JobState>,
     observations: Observations,
+    /// Moves whose candidate this instance stopped sending to, with the reason.
     trips: BTreeMap<SmolStr, SmolStr>,
+    /// When comparison windows were last closed.
     windows_closed_ms: u64,
     rng: SmallRng,
 }
 
-/// What is kept for each service.
+/// The state of one service: its endpoints, its queue and what was learned of it.
 #[derive(Debug, Default)]
 struct Pool {
     endpoints: Vec<EndpointKey>,
     queue: TierQueue,
-    versions: Versions,
-    retries: Budget,
-    lengths: LengthRatio,
-    /// The speed of all endpoints together, for estimates of waiting.
+    split: TrafficSplit,
+    retry_budget: RetryBudget,
+    length_ratio: LengthRatio,
+    /// The average speed of all endpoints, used to estimate waiting times.
     speed: Speed,
-    /// The speed of each hardware generation, from which new endpoints start.
-    hardware: BTreeMap<SmolStr, Speed>,
-    /// The lowest tier that this instance admits, and until when.
+    /// The speed of each hardware generation, the initial speed of its new endpoints.
+    speed_by_hardware: BTreeMap<SmolStr, Speed>,
+    /// The lowest tier that this instance itself admits, and until when, in milliseconds.
     floor: Option<(Tier, u64)>,
-    /// The lowest tier that other instances admit.
-    heard_floor: Option<Tier>,
-    next_in_turn: usize,
+    /// The lowest tier admitted according to the control state's view.
+    remote_floor: Option<Tier>,
+    /// The round-robin position.
+    round_robin_index: usize,
 }
 
 #[derive(Debug)]
 struct JobState {
     job: Job,
+    /// When the request was submitted.
     queued_ms: u64,
-    /// The expected time of the request, in milliseconds.
+    /// The expected duration of the request, in milliseconds.
     work_ms: f64,
+    /// Endpoints at which an attempt failed; retries avoid them.
     excluded: Vec<EndpointName>,
     running: Option<Running>,
 }
@@ -78,18 +83,18 @@
 struct Running {
     endpoint: EndpointKey,
     version: Version,
-    /// The prompt's tokens that were not believed to be cached.
+    /// The prompt tokens that were not expected to be cached.
     prefill_tokens: u64,
 }
 
 impl Scheduler {
-    /// Makes a scheduler without endpoints; choices are drawn from a generator seeded by `seed`.
+    /// Creates a scheduler without endpoints; `seed` seeds the generator of its random choices.
     pub fn new(options: Options, seed: u64) -> Self {
         Self {
             options,
             pools: BTreeMap::new(),
             endpoints: SlotMap::with_key(),
-            names: BTreeMap::new(),
+            keys_by_name: BTreeMap::new(),
             jobs: SlotMap::with_key(),
             observations: Observations::new(),
             trips: BTreeMap::new(),
@@ -98,34 +103,35 @@
         }
     }
 
-    /// Returns how many requests wait or run.
+    /// Returns the number of waiting and running requests.
     pub fn jobs(&self) -> usize {
         self.jobs.len()
     }
 
-    /// Returns how many requests run at endpoints.
+    /// Returns the number of requests that are running at endpoints.
     pub fn running(&self) -> usize {
         self.jobs.values().filter(|state| state.running.is_some()).count()
     }
 
-    /// Returns the endpoint of this name.
+    /// Returns the endpoint with this name.
     pub fn endpoint(&self, name: &EndpointName) -> Option<&Endpoint> {
-        self.names.get(name).and_then(|key| self.endpoints.get(*key))
+        self.keys_by_name.get(name).and_then(|key| self.endpoints.get(*key))
     }
 
-    /// Lets time pass: gives up requests that can no longer make their deadline, and dispatches
-    /// what breakers and leases allow again.
+    /// Advances the time to `now_ms`: refuses requests that can no longer meet their deadline or
+    /// are below the shed floor, and dispatches waiting requests to endpoints that have become
+    /// available.
     pub fn tick(&mut self, now_ms: u64) -> Vec<Decision> {
         const WINDOW_MS: u64 = 5_000;
         if now_ms >= self.windows_closed_ms + WINDOW_MS {
             self.windows_closed_ms = now_ms;
-            let trips = self.pools.values_mut().filter_map(|pool| pool.versions.close_windows());
+            let trips = self.pools.values_mut().filter_map(|pool| pool.split.close_windows());
             self.trips.extend(trips);
         }
         let services: Vec<ServiceName> = self.pools.keys().cloned().collect();
         let mut decisions = Vec::new();
         for service in &services {
-            self.give_up_late(now_ms, service, &mut decisions);
+            self.refuse_late(now_ms, service, &mut decisions);
             self.enforce_floor(now_ms, service, &mut decisions);
             self.dispatch_waiting(now_ms, service, &mut decisions);
         }
--- a/crates/route/src/scheduler/report.rs
+++ b/crates/route/src/scheduler/report.rs
@@ -1,4 +1,4 @@
-//! What the scheduler tells the control state.
+//! The scheduler's report to the control state.
 
 use super::Scheduler;
 use lycheehub_control::moves::Observations;
@@ -7,23 +7,24 @@
 use smol_str::SmolStr;
 use std::collections::BTreeMap;
 
-/// What the scheduler wants and has seen.
+/// The capacity that the scheduler demands, and what it observed.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Demands {
-    /// Slots used and wanted, by endpoint.
+    /// Slots in use and wanted, by endpoint.
     pub endpoints: BTreeMap<EndpointName, Demand>,
-    /// The lowest tier admitted, for each service that this instance itself sheds.
+    /// The lowest tier admitted, for each service whose requests this instance is shedding itself.
     pub shed_floor: BTreeMap<ServiceName, Tier>,
-    /// What was observed of versions since the last call.
+    /// Observations of versions since the last call.
     pub observations: Observations,
-    /// The moves whose version this instance stopped sending to, since the last call.
+    /// The moves whose candidate version this instance stopped sending to since the last call, each
+    /// with the reason.
     pub trips: BTreeMap<SmolStr, SmolStr>,
-    /// Requests wait while this instance has no open slot.
+    /// Whether requests are waiting because no endpoint is open to them.
     pub starved: bool,
 }
 
 impl Scheduler {
-    /// Returns what the control state needs to know, and starts new observations.
+    /// Returns the demands and clears the collected observations and trips.
     pub fn demands(&mut self, now_ms: u64) -> Demands {
         let mut demands = Demands {
             observations: std::mem::take(&mut self.observations),
@@ -31,20 +32,21 @@
             ..Demands::default()
         };
         for (service, pool) in &self.pools {
-            let own = pool.floor.filter(|(_, until_ms)| now_ms < *until_ms);
-            if let Some((floor, _)) = own {
+            let own_floor = pool.floor.filter(|(_, until_ms)| now_ms < *until_ms);
+            if let Some((floor, _)) = own_floor {
                 demands.shed_floor.insert(service.clone(), floor);
             }
             let waiting = pool.queue.len();
             demands.starved |= waiting > 0;
-            let spread = pool.endpoints.len().max(1);
+            let endpoint_count = pool.endpoints.len().max(1);
             for key in &pool.endpoints {
                 let Some(endpoint) = self.endpoints.get(*key) else { continue };
                 let mut demand = Demand { in_use: endpoint.in_flight(), ..Demand::default() };
                 for rank in 0..Tier::COUNT {
-                    let queued = pool.queue.waiting(Tier::new(rank)).div_ceil(spread) as u32;
-                    let at = usize::from(rank);
-                    demand.wanted[at] = endpoint.in_flight[at] + queued;
+                    let queued =
+                        pool.queue.waiting(Tier::new(rank)).div_ceil(endpoint_count) as u32;
+                    let index = usize::from(rank);
+                    demand.wanted[index] = endpoint.in_flight[index] + queued;
                 }
                 demands.endpoints.insert(endpoint.record.endpoint.clone(), demand);
             }
