--- a/crates/route/tests/route/fixtures.rs
+++ b/crates/route/tests/route/fixtures.rs
@@ -1,4 +1,4 @@
-//! Views and jobs that the tests share.
+//! Views, jobs and helpers that the tests share.
 
 use lycheehub_control::View;
 use lycheehub_control::state::Phase;
--- a/crates/route/tests/route/leases.rs
+++ b/crates/route/tests/route/leases.rs
@@ -1,11 +1,11 @@
-//! New work goes only to endpoints that hold a live lease and have a granted slot.
+//! Requests are dispatched only to endpoints with a valid lease and a free granted slot.
 
 use crate::fixtures::{dispatched, endpoint, job, refused, view};
 use lycheehub_route::{Decision, Options, Scheduler};
 use lycheehub_types::RefusalKind;
 
 #[test]
-fn no_new_work_after_the_lease_is_over() {
+fn no_dispatch_after_the_lease_has_expired() {
     let mut scheduler = Scheduler::new(Options::default(), 1);
     scheduler.update(0, &view(vec![endpoint("engine", "v1", 4, 1_000)]));
     assert_eq!(dispatched(&scheduler.submit(999, job(0, "a", 60_000)).1).len(), 1);
@@ -16,7 +16,7 @@
 }
 
 #[test]
-fn no_new_work_for_an_endpoint_that_is_leaving() {
+fn no_dispatch_to_a_leaving_endpoint() {
     let mut scheduler = Scheduler::new(Options::default(), 1);
     let mut leaving = endpoint("engine", "v1", 4, u64::MAX);
     leaving.record.leaving = true;
@@ -25,12 +25,12 @@
 }
 
 #[test]
-fn never_more_than_the_granted_slots() {
+fn requests_in_flight_never_exceed_the_granted_slots() {
     let mut scheduler = Scheduler::new(Options::default(), 1);
     let mut live = endpoint("engine", "v1", 8, u64::MAX);
     live.granted_slots = 2;
     scheduler.update(0, &view(vec![live]));
-    let taken: usize =
+    let dispatched_count: usize =
         (0..5).map(|_| dispatched(&scheduler.submit(1, job(0, "a", 60_000)).1).len()).sum();
-    assert_eq!(taken, 2);
+    assert_eq!(dispatched_count, 2);
 }
--- a/crates/route/tests/route/main.rs
+++ b/crates/route/tests/route/main.rs
@@ -1,4 +1,4 @@
-//! Tests of the routing decisions.
+//! Tests of the scheduler's routing decisions.
 
 mod fairness;
 mod fixtures;
--- a/crates/route/tests/route/retries.rs
+++ b/crates/route/tests/route/retries.rs
@@ -1,10 +1,10 @@
-//! Retries go elsewhere and stay within the budget.
+//! Retries go to other endpoints and stay within the retry budget.
 
 use crate::fixtures::{dispatched, endpoint, job, refused, view};
 use lycheehub_route::{Decision, Options, Scheduler};
 
 #[test]
-fn a_retry_goes_to_another_endpoint() {
+fn retry_goes_to_another_endpoint() {
     let mut scheduler = Scheduler::new(Options::default(), 1);
     let live = |name| endpoint(name, "v1", 4, u64::MAX);
     scheduler.update(0, &view(vec![live("one"), live("two")]));
@@ -16,7 +16,7 @@
 }
 
 #[test]
-fn retries_stop_when_the_budget_is_spent() {
+fn retries_stop_when_the_budget_is_exhausted() {
     let mut scheduler = Scheduler::new(Options::default(), 1);
     let live = |number| endpoint(&format!("engine-{number}"), "v1", 100, u64::MAX);
     scheduler.update(0, &view((0..60).map(live).collect()));
@@ -26,13 +26,13 @@
         .map(|(key, _)| key)
         .collect();
     assert_eq!(keys.len(), 60);
-    let given_up: usize =
+    let refused_count: usize =
         keys.iter().map(|key| refused(&scheduler.retry(2, *key, None)).len()).sum();
-    assert_eq!(given_up, 40);
+    assert_eq!(refused_count, 40);
 }
 
 #[test]
-fn a_request_with_nowhere_else_to_go_is_given_up_at_once() {
+fn request_without_another_endpoint_is_refused_at_once() {
     let mut scheduler = Scheduler::new(Options::default(), 1);
     scheduler.update(0, &view(vec![endpoint("one", "v1", 4, u64::MAX)]));
     let (key, _) = scheduler.submit(1, job(0, "a", 60_000));
--- a/crates/route/tests/route/tiers.rs
+++ b/crates/route/tests/route/tiers.rs
@@ -1,4 +1,4 @@
-//! Inside an instance, no tier is shed while a lower one waits or is taken.
+//! Within an instance, no request is shed while one of a lower tier waits or is dispatched.
 
 use crate::fixtures::{config, endpoint, job, view};
 use lycheehub_route::{Decision, Job, JobKey, Options, Outcome, Scheduler};
@@ -13,8 +13,8 @@
     Arrive { tier: u8, tokens: u16, patience_ms: u16 },
     Finish(u8),
     Fail(u8),
-    Pass(u8),
-    Grant(u8),
+    AdvanceTime(u8),
+    GrantSlots(u8),
 }
 
 fn event() -> impl Strategy<Value = Event> {
@@ -23,22 +23,22 @@
             .prop_map(|(tier, tokens, patience_ms)| Event::Arrive { tier, tokens, patience_ms }),
         5 => any::<u8>().prop_map(Event::Finish),
         1 => any::<u8>().prop_map(Event::Fail),
-        3 => any::<u8>().prop_map(Event::Pass),
-        1 => (0..4_u8).prop_map(Event::Grant),
+        3 => any::<u8>().prop_map(Event::AdvanceTime),
+        1 => (0..4_u8).prop_map(Event::GrantSlots),
     ]
 }
 
-/// The scheduler with all that the checks need to know of its jobs.
-struct Site {
+/// A scheduler, with the state of its jobs that the checks need.
+struct Harness {
     scheduler: Scheduler,
     now_ms: u64,
-    /// Jobs that wait, with the tier that they came with.
+    /// Waiting jobs, with the tier at which they were submitted.
     waiting: BTreeMap<JobKey, Tier>,
     running: Vec<JobKey>,
     slots: u32,
 }
 
-impl Site {
+impl Harness {
     fn new(options: Options) -> Self {
         let mut scheduler = Scheduler::new(options, 7);
         let slots = 3;
@@ -49,18 +49,18 @@
     fn step(&mut self, event: Event) -> Result<(), TestCaseError> {
         match event {
             Event::Arrive { tier, tokens, patience_ms } => self.arrive(tier, tokens, patience_ms),
-            Event::Finish(pick) => self.end(pick, |tokens| Outcome::Answered {
+            Event::Finish(selector) => self.end(selector, |tokens| Outcome::Answered {
                 tokens,
                 first_token_ms: Some(20.0),
                 total_ms: 120.0,
             }),
-            Event::Fail(pick) => self.end(pick, |_| Outcome::Failed),
-            Event::Pass(ms) => {
+            Event::Fail(selector) => self.end(selector, |_| Outcome::Failed),
+            Event::AdvanceTime(ms) => {
                 self.now_ms += u64::from(ms) * 4;
                 let decisions = self.scheduler.tick(self.now_ms);
                 self.check(&decisions, None)
             }
-            Event::Grant(slots) => {
+            Event::GrantSlots(slots) => {
                 self.slots = u32::from(slots);
                 let live = endpoint("engine", "v1", self.slots, u64::MAX);
                 let decisions = self.scheduler.update(self.now_ms, &view(vec![live]));
@@ -78,15 +78,21 @@
         self.check(&decisions, Some(key))
     }
 
-    fn end(&mut self, pick: u8, outcome: impl FnOnce(u64) -> Outcome) -> Result<(), TestCaseError> {
+    fn end(
+        &mut self,
+        selector: u8,
+        outcome: impl FnOnce(u64) -> Outcome,
+    ) -> Result<(), TestCaseError> {
         if self.running.is_empty() {
             return Ok(());
         }
-        let key = self.running.remove(usize::from(pick) % self.running.len());
+        let key = self.running.remove(usize::from(selector) % self.running.len());
         let decisions = self.scheduler.finish(self.now_ms, key, outcome(6));
         self.check(&decisions, None)
     }
 
+    /// Checks that the decisions never shed a request while one of a lower tier waits or is
+    /// dispatched.
     fn check(
         &mut self,
         decisions: &[Decision],
@@ -108,7 +114,7 @@
                     );
                     if refusal.kind() == RefusalKind::Overloaded {
                         prop_assert!(
-                            shed.is_none_or(|before| before <= tier),
+                            shed.is_none_or(|previous| previous <= tier),
                             "a higher tier was shed first"
                         );
                         shed = shed.max(Some(tier));
@@ -123,10 +129,10 @@
             "tier {shed} was shed while tier {} waits",
             lower.map_or(Tier::LOWEST, |(_, tier)| *tier)
         );
-        let taken = arrived.filter(|key| self.running.contains(key));
+        let dispatched = arrived.filter(|key| self.running.contains(key));
         prop_assert!(
-            taken.is_none() || decisions.len() == 1,
-            "one was shed while one that came was taken"
+            dispatched.is_none() || decisions.len() == 1,
+            "a request was shed while the arriving one was dispatched"
         );
         Ok(())
     }
@@ -135,46 +141,50 @@
 fn run(options: Options) -> Result<(), TestError<Vec<Event>>> {
     let mut runner = TestRunner::new(config(1_500));
     runner.run(&vec(event(), 1..200), |events| {
-        let mut site = Site::new(options);
-        events.into_iter().try_for_each(|event| site.step(event))
+        let mut harness = Harness::new(options);
+        events.into_iter().try_for_each(|event| harness.step(event))
     })
 }
 
-fn tight() -> Options {
+fn small_queue() -> Options {
     Options { queue_max: 12, ..Options::default() }
 }
 
 #[test]
 fn no_tier_is_shed_while_a_lower_one_waits() {
-    run(tight()).unwrap_or_else(|error| panic!("{error}"));
+    run(small_queue()).unwrap_or_else(|error| panic!("{error}"));
 }
 
+/// Guards the property test itself: it must fail for a scheduler that ignores tiers.
 #[test]
-fn shedding_without_tiers_is_caught() {
-    let found = run(Options { tiers: false, ..tight() });
-    assert!(matches!(found, Err(TestError::Fail(..))), "shedding without tiers was not caught");
+fn checks_detect_shedding_that_ignores_tiers() {
+    let result = run(Options { tiers: false, ..small_queue() });
+    assert!(
+        matches!(result, Err(TestError::Fail(..))),
+        "the checks did not detect shedding that ignores tiers"
+    );
 }
 
 #[test]
-fn a_floor_heard_from_another_instance_sheds_what_is_below_it() {
-    let mut site = Site::new(tight());
-    let mut heard = view(vec![endpoint("engine", "v1", 0, u64::MAX)]);
-    site.scheduler.update(1, &heard);
-    let (low, _) = site.scheduler.submit(1, job(4, "a", 60_000));
-    let (high, _) = site.scheduler.submit(1, job(0, "a", 60_000));
-    heard.shed_floor.insert("writer".into(), Tier::new(2));
-    let decisions = site.scheduler.update(2, &heard);
+fn shed_floor_of_another_instance_sheds_lower_tiers() {
+    let mut harness = Harness::new(small_queue());
+    let mut remote_view = view(vec![endpoint("engine", "v1", 0, u64::MAX)]);
+    harness.scheduler.update(1, &remote_view);
+    let (low, _) = harness.scheduler.submit(1, job(4, "a", 60_000));
+    let (high, _) = harness.scheduler.submit(1, job(0, "a", 60_000));
+    remote_view.shed_floor.insert("writer".into(), Tier::new(2));
+    let decisions = harness.scheduler.update(2, &remote_view);
     assert_eq!(crate::fixtures::refused(&decisions), [low]);
-    let (next, decisions) = site.scheduler.submit(3, job(3, "a", 60_000));
+    let (next, decisions) = harness.scheduler.submit(3, job(3, "a", 60_000));
     assert_eq!(crate::fixtures::refused(&decisions), [next]);
     assert!(!crate::fixtures::refused(&decisions).contains(&high));
 }
 
 #[test]
-fn what_cannot_be_answered_in_time_is_refused_at_once() {
-    let mut site = Site::new(tight());
+fn request_that_cannot_meet_its_deadline_is_refused_at_once() {
+    let mut harness = Harness::new(small_queue());
     let job = Job { max_tokens: 10_000, ..job(0, "a", 1_000) };
-    let (key, decisions) = site.scheduler.submit(1, job);
+    let (key, decisions) = harness.scheduler.submit(1, job);
     let Some(Decision::Refuse(refused, refusal)) = decisions.first() else {
         panic!("{decisions:?}")
     };
--- a/crates/route/tests/route/versions.rs
+++ b/crates/route/tests/route/versions.rs
@@ -1,9 +1,10 @@
-//! A new version gets its share and no more, and none once its badness shows here.
+//! A candidate version gets exactly its share of traffic, and none once this instance has observed
+//! that it is bad.
 
 use crate::fixtures::{endpoint, job, view, with_candidate};
 use lycheehub_route::{Decision, Options, Outcome, Scheduler};
 
-fn site(share_permille: u32) -> Scheduler {
+fn scheduler_with_candidate(share_permille: u32) -> Scheduler {
     let mut scheduler = Scheduler::new(Options::default(), 1);
     let endpoints =
         vec![endpoint("old", "v1", 100, u64::MAX), endpoint("new", "v2", 100, u64::MAX)];
@@ -13,8 +14,8 @@
 
 fn run(scheduler: &mut Scheduler, count: u64, bad: bool) -> u64 {
     let mut to_new = 0;
-    for turn in 0..count {
-        let now_ms = 10 * turn + 1;
+    for index in 0..count {
+        let now_ms = 10 * index + 1;
         let (key, decisions) = scheduler.submit(now_ms, job(0, "a", now_ms + 60_000));
         let Some(Decision::Dispatch(_, assignment)) = decisions.first() else {
             panic!("{decisions:?}")
@@ -29,15 +30,15 @@
 }
 
 #[test]
-fn a_good_version_gets_its_share() {
-    assert_eq!(run(&mut site(20), 5_000, false), 100);
-    assert_eq!(run(&mut site(500), 1_000, false), 500);
-    assert_eq!(run(&mut site(1_000), 1_000, false), 1_000);
+fn good_candidate_gets_its_share() {
+    assert_eq!(run(&mut scheduler_with_candidate(20), 5_000, false), 100);
+    assert_eq!(run(&mut scheduler_with_candidate(500), 1_000, false), 500);
+    assert_eq!(run(&mut scheduler_with_candidate(1_000), 1_000, false), 1_000);
 }
 
 #[test]
-fn a_bad_version_is_stopped_without_a_word_from_the_leader() {
-    let mut scheduler = site(500);
+fn bad_candidate_is_stopped_without_the_leader() {
+    let mut scheduler = scheduler_with_candidate(500);
     let to_new = run(&mut scheduler, 1_000, true);
     assert!(to_new <= 25, "{to_new} requests to a version that always fails");
     let demands = scheduler.demands(20_000);
@@ -45,11 +46,11 @@
 }
 
 #[test]
-fn a_failure_that_is_made_good_elsewhere_counts_against_the_version() {
-    let mut scheduler = site(500);
+fn failure_followed_by_a_successful_retry_counts_against_the_candidate() {
+    let mut scheduler = scheduler_with_candidate(500);
     let mut to_new = 0;
-    for turn in 0..400 {
-        let now_ms = 10 * turn + 1;
+    for index in 0..400 {
+        let now_ms = 10 * index + 1;
         let (key, mut decisions) = scheduler.submit(now_ms, job(0, "a", now_ms + 60_000));
         while let Some(Decision::Dispatch(_, assignment)) = decisions.first() {
             if assignment.name.as_str() != "new" {
