--- a/crates/control/src/state/mod.rs
+++ b/crates/control/src/state/mod.rs
@@ -19,7 +19,7 @@
 pub use rollouts::{RolloutOrder, RolloutRecord, RolloutState, RolloutStep};
 pub use sections::{RequestLog, SectionRecord};
 
-use lycheehub_estate::Estate;
+use lycheehub_estate::MergedSections;
 use lycheehub_types::{SectionName, ServiceName, Version};
 use quick_error::quick_error;
 use serde::{Deserialize, Serialize};
@@ -74,7 +74,7 @@
     pub rollouts: BTreeMap<ServiceName, RolloutRecord>,
     /// The estate that the sections describe.
     #[serde(skip)]
-    pub estate: Estate,
+    pub estate: MergedSections,
 }
 
 impl State {
--- a/crates/control/src/state/sections.rs
+++ b/crates/control/src/state/sections.rs
@@ -1,7 +1,7 @@
 //! Sections: submissions, conflicts and resends.
 
 use super::{ApplyOutcome, State, Submission};
-use lycheehub_estate::{Estate, Section};
+use lycheehub_estate::{MergedSections, Section};
 use lycheehub_types::SectionName;
 use serde::{Deserialize, Serialize};
 use smol_str::{SmolStr, format_smolstr};
@@ -96,7 +96,7 @@
     ///
     /// # Errors
     /// Tells what is wrong with the text, its author or how it fits the other sections.
-    pub fn check(&self, submission: &Submission) -> Result<(Section, Estate), SmolStr> {
+    pub fn check(&self, submission: &Submission) -> Result<(Section, MergedSections), SmolStr> {
         let section = &submission.section;
         let parsed = lycheehub_estate::parse(&submission.text)
             .map_err(|error| format_smolstr!("{section}:{error}"))?;
--- a/crates/control/src/view.rs
+++ b/crates/control/src/view.rs
@@ -1,7 +1,7 @@
 //! What control state shows to the traffic threads: immutable, replaced whole.
 
 use crate::state::{Phase, State};
-use lycheehub_estate::Estate;
+use lycheehub_estate::MergedSections;
 use lycheehub_types::{EndpointName, EndpointRecord, InstanceRecord, ServiceName, Tier, Version};
 use std::collections::BTreeMap;
 
@@ -46,7 +46,7 @@
     /// The revision in force.
     pub revision: u64,
     /// The sections together.
-    pub estate: Estate,
+    pub estate: MergedSections,
     /// How each service's traffic is shared between versions.
     pub shares: BTreeMap<ServiceName, VersionShare>,
     /// The endpoints whose lease held when the view was made.
--- a/crates/estate/src/lib.rs
+++ b/crates/estate/src/lib.rs
@@ -1,8 +1,8 @@
-//! The operators' document: sections, their checks, and the estate that they describe together.
+//! The operators' configuration document: parses its sections, merges them and checks the result.
 //!
 //! * [`parse`] turns the text of one section into a [`Section`].
-//! * [`merge`] joins all sections into an [`Estate`] and checks them against each other.
-//! * [`diff`] lists what a new text changes.
+//! * [`merge`] merges all sections into [`MergedSections`] and checks them against each other.
+//! * [`diff`] compares two texts of a section line by line.
 #![deny(missing_docs, rust_2018_idioms)]
 #![forbid(unsafe_code)]
 
@@ -13,4 +13,4 @@
 
 pub use merge::merge;
 pub use parse::parse;
-pub use types::{Account, Estate, MoveSpec, MoveState, Section, Service};
+pub use types::{Account, MergedSections, MoveSpec, MoveState, Section, Service};
--- a/crates/estate/src/merge.rs
+++ b/crates/estate/src/merge.rs
@@ -1,16 +1,16 @@
-//! Joins sections into the estate and checks them against each other.
+//! Merges sections and checks them against each other.
 
-use crate::{Estate, Section};
+use crate::{MergedSections, Section};
 use lycheehub_types::SectionName;
 use quick_error::quick_error;
 use smol_str::SmolStr;
 use std::collections::BTreeMap;
 
 quick_error! {
-    /// Why sections do not fit together.
+    /// Why sections cannot be merged.
     #[derive(Clone, Debug, PartialEq, Eq)]
     pub enum Error {
-        /// Two sections define the same thing.
+        /// Two sections define the same service, account or move.
         Duplicate(kind: &'static str, name: SmolStr, section: SectionName) {
             display("{} {:?} of section {:?} stands in another section already", kind, name, section.as_str())
         }
@@ -18,18 +18,18 @@
         SharedKey(account: SmolStr, other: SmolStr) {
             display("accounts {:?} and {:?} have the same key_sha256", account, other)
         }
-        /// A move names a service that no section defines.
+        /// A move refers to a service that no section defines.
         UnknownService(id: SmolStr, service: SmolStr) {
             display("move {:?} names service {:?}, which no section defines", id, service)
         }
     }
 }
 
-/// Joins `sections` into one estate.
+/// Merges `sections`.
 ///
 /// # Errors
-/// Fails where two sections define the same name, two accounts share a key, or a move names a
-/// service that is not defined.
+/// Returns an error if two sections define the same name, two accounts have the same key, or a move
+/// refers to a service that no section defines.
 ///
 /// # Examples
 /// ```
@@ -41,47 +41,47 @@
 /// let sections = BTreeMap::from([(SectionName::from("labels"), parse(text).unwrap())]);
 /// assert!(merge(&sections).unwrap().services.contains_key(&"writer".into()));
 /// ```
-pub fn merge(sections: &BTreeMap<SectionName, Section>) -> Result<Estate, Error> {
-    let mut estate = Estate::default();
+pub fn merge(sections: &BTreeMap<SectionName, Section>) -> Result<MergedSections, Error> {
+    let mut merged = MergedSections::default();
     for (name, section) in sections {
         for (service, spec) in &section.services {
-            if estate.services.insert(service.clone(), spec.clone()).is_some() {
+            if merged.services.insert(service.clone(), spec.clone()).is_some() {
                 return Err(duplicate("service", service.as_str(), name));
             }
         }
         for (account, spec) in &section.accounts {
-            if estate.accounts.insert(account.clone(), spec.clone()).is_some() {
+            if merged.accounts.insert(account.clone(), spec.clone()).is_some() {
                 return Err(duplicate("account", account.as_str(), name));
             }
         }
         for (id, spec) in &section.moves {
-            if estate.moves.insert(id.clone(), (name.clone(), spec.clone())).is_some() {
+            if merged.moves.insert(id.clone(), (name.clone(), spec.clone())).is_some() {
                 return Err(duplicate("move", id, name));
             }
         }
     }
-    check_keys(&estate)?;
-    check_moves(&estate)?;
-    Ok(estate)
+    check_keys(&merged)?;
+    check_moves(&merged)?;
+    Ok(merged)
 }
 
 fn duplicate(kind: &'static str, name: &str, section: &SectionName) -> Error {
     Error::Duplicate(kind, name.into(), section.clone())
 }
 
-fn check_keys(estate: &Estate) -> Result<(), Error> {
-    let mut owners = BTreeMap::new();
-    for (name, account) in &estate.accounts {
-        if let Some(other) = owners.insert(&account.key_sha256, name) {
+fn check_keys(merged: &MergedSections) -> Result<(), Error> {
+    let mut names_by_key = BTreeMap::new();
+    for (name, account) in &merged.accounts {
+        if let Some(other) = names_by_key.insert(&account.key_sha256, name) {
             return Err(Error::SharedKey(name.as_str().into(), other.as_str().into()));
         }
     }
     Ok(())
 }
 
-fn check_moves(estate: &Estate) -> Result<(), Error> {
-    for (id, (_, spec)) in &estate.moves {
-        if !estate.services.contains_key(&spec.service) {
+fn check_moves(merged: &MergedSections) -> Result<(), Error> {
+    for (id, (_, spec)) in &merged.moves {
+        if !merged.services.contains_key(&spec.service) {
             return Err(Error::UnknownService(id.clone(), spec.service.as_str().into()));
         }
     }
--- a/crates/estate/src/parse.rs
+++ b/crates/estate/src/parse.rs
@@ -1,4 +1,4 @@
-//! Parses one section's text, naming the line and column of what is wrong.
+//! Parses the text of one section; errors carry the line and column of the fault.
 
 use crate::{Account, MoveSpec, MoveState, Section, Service};
 use lycheehub_types::{AccountName, EndpointKind, ServiceName, Tier, Version, name};
@@ -11,18 +11,18 @@
 use time::format_description::well_known::Rfc3339;
 use toml::Spanned;
 
-/// The longest section text accepted, in bytes.
+/// The maximum size of a section's text, in bytes.
 pub const SECTION_MAX_BYTES: usize = 1024 * 1024;
-/// The deadline of a service that names none, in milliseconds.
+/// The deadline of a service that does not set one, in milliseconds.
 pub const DEFAULT_DEADLINE_MS: u64 = 30_000;
-/// The hexadecimal digits of a SHA-256 digest.
+/// The number of hexadecimal digits of a SHA-256 digest.
 const DIGEST_DIGITS: usize = 64;
 
 quick_error! {
-    /// Why a section's text is refused.
+    /// Why a section's text is rejected.
     #[derive(Clone, Debug, PartialEq, Eq)]
     pub enum Error {
-        /// The text breaks a rule at this place.
+        /// The text is invalid at this line and column.
         At(line: usize, column: usize, message: SmolStr) {
             display("{}:{}: {}", line, column, message)
         }
@@ -72,7 +72,7 @@
 /// Parses the text of one section.
 ///
 /// # Errors
-/// Names the line and column of the first thing that is wrong, and what was expected.
+/// Returns the line and column of the first fault, and what was expected there.
 ///
 /// # Examples
 /// ```
@@ -86,31 +86,35 @@
 /// assert!(error.to_string().starts_with("1:9: "));
 /// ```
 pub fn parse(text: &str) -> Result<Section, Error> {
-    let places = Places { text };
+    let converter = Converter { text };
     if text.len() > SECTION_MAX_BYTES {
         return Err(
-            places.error(&(0..0), format!("a section has at most {SECTION_MAX_BYTES} bytes"))
+            converter.error(&(0..0), format!("a section has at most {SECTION_MAX_BYTES} bytes"))
         );
     }
     let raw: SectionText = toml::from_str(text)
-        .map_err(|error| places.error(&error.span().unwrap_or(0..0), error.message()))?;
-    let mut section = Section { owner: places.name(&raw.owner)?, ..Section::default() };
+        .map_err(|error| converter.error(&error.span().unwrap_or(0..0), error.message()))?;
+    let mut section = Section { owner: converter.name(&raw.owner)?, ..Section::default() };
     for (key, value) in &raw.service {
-        places.key(key, value.span())?;
-        section.services.insert(ServiceName::new(key.as_str()), places.service(value.get_ref())?);
+        converter.check_name(key, value.span())?;
+        section
+            .services
+            .insert(ServiceName::new(key.as_str()), converter.service(value.get_ref())?);
     }
     for (key, value) in &raw.account {
-        places.key(key, value.span())?;
-        section.accounts.insert(AccountName::new(key.as_str()), places.account(value.get_ref())?);
+        converter.check_name(key, value.span())?;
+        section
+            .accounts
+            .insert(AccountName::new(key.as_str()), converter.account(value.get_ref())?);
     }
     for (key, value) in &raw.moves {
-        places.key(key, value.span())?;
-        section.moves.insert(key.as_str().into(), places.version_move(value.get_ref())?);
+        converter.check_name(key, value.span())?;
+        section.moves.insert(key.as_str().into(), converter.move_spec(value.get_ref())?);
     }
     Ok(section)
 }
 
-/// Returns the line and column of a byte of a text, both from 1.
+/// Returns the line and column of a byte offset in a text, both counted from 1.
 ///
 /// # Examples
 /// ```
@@ -123,25 +127,26 @@
     (line, column)
 }
 
-struct Places<'a> {
+/// Converts parsed TOML values to the types of a section, and locates errors in the source text.
+struct Converter<'a> {
     text: &'a str,
 }
 
-impl Places<'_> {
+impl Converter<'_> {
     fn error(&self, span: &Range<usize>, message: impl Into<SmolStr>) -> Error {
         let (line, column) = position(self.text, span.start);
         Error::At(line, column, message.into())
     }
 
-    fn key(&self, key: &str, span: Range<usize>) -> Result<(), Error> {
+    fn check_name(&self, key: &str, span: Range<usize>) -> Result<(), Error> {
         if name::is_valid(key) {
             return Ok(());
         }
-        Err(self.error(&span, name_rule(key)))
+        Err(self.error(&span, invalid_name_message(key)))
     }
 
     fn name(&self, value: &Spanned<String>) -> Result<SmolStr, Error> {
-        self.key(value.get_ref(), value.span())?;
+        self.check_name(value.get_ref(), value.span())?;
         Ok(value.get_ref().as_str().into())
     }
 
@@ -180,7 +185,7 @@
         })
     }
 
-    fn version_move(&self, raw: &MoveText) -> Result<MoveSpec, Error> {
+    fn move_spec(&self, raw: &MoveText) -> Result<MoveSpec, Error> {
         let by_unix_ms = OffsetDateTime::parse(raw.by.get_ref(), &Rfc3339)
             .ok()
             .and_then(|time| u64::try_from(time.unix_timestamp_nanos() / 1_000_000).ok())
@@ -196,7 +201,7 @@
     }
 }
 
-fn name_rule(name: &str) -> String {
+fn invalid_name_message(name: &str) -> String {
     let max = name::NAME_MAX_BYTES;
     format!("{name:?} is no name: expected 1 to {max} letters, digits, '-', '_' or '.'")
 }
--- a/crates/estate/tests/estate/main.rs
+++ b/crates/estate/tests/estate/main.rs
@@ -1,4 +1,4 @@
-//! Tests of the operators' document.
+//! Tests of the operators' configuration document.
 
 mod merge;
 mod parse;
--- a/crates/estate/tests/estate/parse.rs
+++ b/crates/estate/tests/estate/parse.rs
@@ -1,4 +1,4 @@
-//! No text makes the parser panic, and each error has its place.
+//! No text makes the parser panic, and each error carries a line within the text.
 
 use lycheehub_estate::parse;
 use proptest::prelude::*;
@@ -32,18 +32,18 @@
     #![proptest_config(config())]
 
     #[test]
-    fn any_text_is_parsed_or_refused_with_a_place(parts in proptest::collection::vec(fragment(), 0..8)) {
+    fn any_text_is_parsed_or_rejected_with_its_position(parts in proptest::collection::vec(fragment(), 0..8)) {
         let text = parts.concat();
         if let Err(error) = parse(&text) {
-            let shown = error.to_string();
-            let line: usize = shown.split(':').next().unwrap_or("").parse().unwrap_or(0);
-            prop_assert!(line >= 1 && line <= text.lines().count() + 1, "{shown}");
+            let message = error.to_string();
+            let line: usize = message.split(':').next().unwrap_or("").parse().unwrap_or(0);
+            prop_assert!(line >= 1 && line <= text.lines().count() + 1, "{message}");
         }
     }
 }
 
 #[test]
-fn defaults_are_filled_in() {
+fn missing_fields_get_defaults() {
     let section =
         parse("owner = \"a\"\n[service.x]\nkind = \"plain\"\nversion = \"v1\"\n").expect("valid");
     let service = &section.services[&"x".into()];
