--- a/crates/proxy/src/exchange/filters.rs
+++ b/crates/proxy/src/exchange/filters.rs
@@ -2,7 +2,7 @@
 
 use super::Exchange;
 use lycheehub_routes::RouteSpec;
-use lycheehub_routes::table::draw_target;
+use lycheehub_routes::table::choose_target;
 use lycheehub_types::{AccountName, Refusal, RefusalKind, ServiceName};
 
 /// What the chain finds out.
@@ -68,7 +68,7 @@
 }
 
 fn draw_service(exchange: &Exchange<'_>, route: &RouteSpec) -> Result<ServiceName, Refusal> {
-    let drawn = draw_target(&route.targets, &exchange.fields.id);
+    let drawn = choose_target(&route.targets, &exchange.fields.id);
     drawn
         .cloned()
         .ok_or_else(|| Refusal::new(RefusalKind::UnknownService, "the route has no service"))
--- a/crates/routes/src/check.rs
+++ b/crates/routes/src/check.rs
@@ -1,4 +1,4 @@
-//! What makes a route document invalid.
+//! Validates a route document.
 
 use crate::{Document, RouteSpec};
 use lycheehub_types::AccountName;
@@ -7,26 +7,26 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 quick_error! {
-    /// The first rule that a document breaks.
+    /// The first rule that a document violates.
     #[derive(Clone, Debug, PartialEq, Eq)]
     pub enum Error {
-        /// A route names a service that the document does not describe.
+        /// A route refers to a service that the document does not define.
         UnknownService(route: SmolStr, service: SmolStr) {
             display("route {}: no service is named {}", route, service)
         }
-        /// Two routes take the same requests.
-        SamePlace(first: SmolStr, second: SmolStr) {
+        /// Two routes have the same host and path prefix.
+        DuplicateRoute(first: SmolStr, second: SmolStr) {
             display("routes {} and {} have the same host and path prefix", first, second)
         }
-        /// No service gets a part of the route's requests.
+        /// The weights of the route's services add up to 0.
         NoWeight(route: SmolStr) {
             display("route {}: the weights of its services add up to 0", route)
         }
-        /// The route lets no request take any time.
+        /// The route's timeout is 0.
         NoTimeout(route: SmolStr) {
             display("route {}: its timeout is 0 ms", route)
         }
-        /// A key leads to two accounts.
+        /// Two client accounts have the same key.
         SharedKey(first: AccountName, second: AccountName) {
             display("client accounts {} and {} share a key", first, second)
         }
@@ -36,7 +36,7 @@
 /// Checks a whole document.
 ///
 /// # Errors
-/// Names the first rule that is broken.
+/// Returns the first rule that the document violates.
 ///
 /// # Examples
 /// ```
@@ -46,12 +46,13 @@
 pub fn check(document: &Document) -> Result<(), Error> {
     let services: BTreeSet<&str> =
         document.services.iter().map(|service| service.name.as_str()).collect();
-    let mut places: BTreeMap<(SmolStr, &str), &SmolStr> = BTreeMap::new();
+    let mut routes_by_match: BTreeMap<(SmolStr, &str), &SmolStr> = BTreeMap::new();
     for route in &document.routes {
         check_route(route, &services)?;
-        let place = (SmolStr::from(route.host.to_ascii_lowercase()), route.path_prefix.as_str());
-        if let Some(other) = places.insert(place, &route.name) {
-            return Err(Error::SamePlace(other.clone(), route.name.clone()));
+        let host_and_prefix =
+            (SmolStr::from(route.host.to_ascii_lowercase()), route.path_prefix.as_str());
+        if let Some(other) = routes_by_match.insert(host_and_prefix, &route.name) {
+            return Err(Error::DuplicateRoute(other.clone(), route.name.clone()));
         }
     }
     check_keys(document)
@@ -73,10 +74,10 @@
 }
 
 fn check_keys(document: &Document) -> Result<(), Error> {
-    let mut holders: BTreeMap<&str, &AccountName> = BTreeMap::new();
+    let mut accounts_by_key: BTreeMap<&str, &AccountName> = BTreeMap::new();
     for account in &document.accounts {
         for key in &account.keys {
-            let other = holders.insert(key, &account.name);
+            let other = accounts_by_key.insert(key, &account.name);
             if let Some(other) = other.filter(|other| **other != account.name) {
                 return Err(Error::SharedKey(other.clone(), account.name.clone()));
             }
--- a/crates/routes/src/document.rs
+++ b/crates/routes/src/document.rs
@@ -1,40 +1,41 @@
-//! What operators submit as one whole: routes, services, limits and client accounts.
+//! The route document that operators submit as a whole: routes, services, limits and client
+//! accounts.
 
 use lycheehub_types::{AccountName, ServiceName};
 use serde::{Deserialize, Serialize};
 use smol_str::SmolStr;
 
-/// A whole route document.
+/// A complete route document.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Document {
-    /// The operators' number for this content; the highest one is in force.
+    /// The version that the operators give to this content; the highest one is in force.
     pub version: u64,
     /// The routes.
     pub routes: Vec<RouteSpec>,
-    /// The services that routes may name.
+    /// The services that routes may refer to.
     pub services: Vec<ServiceSpec>,
-    /// Bounds for what callers send.
+    /// Limits on what callers send.
     pub limits: ClientLimits,
-    /// The client accounts; requests need no key where there are none.
+    /// The client accounts. If there are none, requests need no key.
     pub accounts: Vec<AccountSpec>,
 }
 
-/// What may be repeated of a request.
+/// Whether and how a request may be sent again.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum RequestKind {
-    /// It may run more than once.
+    /// The request may run more than once.
     Idempotent,
-    /// It runs at most once.
+    /// The request runs at most once.
     Unsafe,
-    /// It is answered by a stream of numbered events.
+    /// The answer is a stream of numbered events.
     Stream {
-        /// It may go on at another endpoint after an event.
+        /// Whether the stream may be resumed at another endpoint after any event.
         resumable: bool,
     },
 }
 
 impl RequestKind {
-    /// Tells whether a request that may have run may be sent again.
+    /// Returns whether a request that may have run may be sent again.
     ///
     /// # Examples
     /// ```
@@ -45,85 +46,85 @@
         matches!(self, Self::Idempotent | Self::Stream { resumable: true })
     }
 
-    /// Tells whether the answer is a stream of events.
+    /// Returns whether the answer is a stream of events.
     pub fn is_stream(self) -> bool {
         matches!(self, Self::Stream { .. })
     }
 }
 
-/// A service with its part of a route's requests.
+/// A service to which a route sends requests, with its weight.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Target {
     /// The service.
     pub service: ServiceName,
-    /// Its part, in relation to the sum of all parts.
+    /// The service's share of the requests, relative to the sum of all weights of the route.
     pub weight: u32,
 }
 
-/// A route.
+/// A route: which requests it matches, and how they are handled.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct RouteSpec {
     /// The route's name, for logs.
     pub name: SmolStr,
-    /// The host that requests name.
+    /// The host that requests must name.
     pub host: SmolStr,
-    /// How the paths of its requests begin.
+    /// The prefix that request paths must start with.
     pub path_prefix: SmolStr,
-    /// What may be repeated.
+    /// Whether and how a request may be sent again.
     pub kind: RequestKind,
-    /// The longest time that a caller is kept waiting, in milliseconds.
+    /// The maximum time that a caller waits for the answer, in milliseconds.
     pub timeout_ms: u64,
-    /// The time within which an answer, or a stream's first event, is on time, in milliseconds.
+    /// The latency objective for an answer, or for the first event of a stream, in milliseconds.
     pub objective_ms: u64,
-    /// The longest pause between events of a stream that is on time, in milliseconds.
+    /// The latency objective for the gap between two events of a stream, in milliseconds.
     pub gap_objective_ms: Option<u64>,
-    /// How long callers wait for the first byte of an answer, in milliseconds, where that is less
-    /// than their deadline.
+    /// How long callers wait for the first byte of an answer, in milliseconds, if that is less than
+    /// their deadline.
     pub patience_ms: Option<u64>,
-    /// The rank; 0 is the most urgent one.
+    /// The priority rank; 0 is the most urgent.
     pub rank: u8,
-    /// The services that answer.
+    /// The services that the route distributes its requests to.
     pub targets: Vec<Target>,
-    /// To how many endpoints a request may be sent.
+    /// The maximum number of endpoints that a request may be sent to.
     pub attempts_max: u32,
-    /// Whether requests need no key.
+    /// Whether requests are accepted without a key.
     pub anonymous: bool,
 }
 
-/// A service.
+/// A service and the properties of its endpoints.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ServiceSpec {
     /// The service's name.
     pub name: ServiceName,
-    /// Where its endpoints tell whether they are well.
+    /// The path of the endpoints' health check.
     pub health_path: SmolStr,
-    /// The most connections that one of its endpoints takes from all instances.
+    /// The maximum number of connections that one endpoint accepts from all instances together.
     pub connections_max: Option<u32>,
-    /// What is known of its endpoints where they are model engines.
+    /// The capacity of the endpoints, if they are model engines.
     pub engine: Option<EngineSpec>,
 }
 
-/// A model engine.
+/// The capacity of a model engine.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct EngineSpec {
-    /// How many requests run at once.
+    /// The number of requests that run concurrently.
     pub slots: u32,
-    /// How many tokens its memory holds.
+    /// The number of tokens that fit into its memory.
     pub memory_tokens: u64,
-    /// How many tokens an event of a stream holds.
+    /// The number of tokens in one event of a stream.
     pub tokens_per_event: u32,
 }
 
-/// Bounds for what callers send.
+/// Limits on what callers send.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ClientLimits {
-    /// The longest request head, in bytes.
+    /// The maximum size of a request head, in bytes.
     pub head_max_bytes: usize,
-    /// The longest request body, in bytes.
+    /// The maximum size of a request body, in bytes.
     pub body_max_bytes: usize,
-    /// How long a caller may take to send a request's head, in milliseconds.
+    /// The maximum time to receive a request head, in milliseconds.
     pub head_timeout_ms: u64,
-    /// How long a connection may be idle, in milliseconds.
+    /// The maximum idle time of a connection, in milliseconds.
     pub idle_timeout_ms: u64,
 }
 
@@ -145,35 +146,34 @@
     pub name: AccountName,
     /// The keys of its callers.
     pub keys: Vec<SmolStr>,
-    /// The tier of its requests; 0 is the highest one.
+    /// The tier of its requests; 0 is the highest.
     pub tier: Option<u8>,
-    /// What it may use; everything where there is none.
+    /// The account's quota; usage is unlimited if there is none.
     pub quota: Option<Quota>,
 }
 
-/// What a client account may use over all instances together.
+/// A token-bucket limit on the usage of a client account, over all instances together.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Quota {
-    /// Whether tokens are counted instead of requests.
+    /// Whether a unit is a token; otherwise it is a request.
     pub in_tokens: bool,
-    /// What a request counts that does not tell its tokens.
+    /// The number of tokens charged for a request that does not state its token count.
     pub untold_tokens: u32,
-    /// How many units come back each second.
+    /// The refill rate, in units per second.
     pub units_per_s: f64,
-    /// How many units may be used at once.
+    /// The capacity of the bucket, in units.
     pub burst_units: f64,
 }
 
 impl Quota {
-    /// Returns how many units a request counts that tells `tokens`.
+    /// Returns the number of units charged for a request that states `tokens`, if any.
     ///
     /// # Examples
     /// ```
     /// # use lycheehub_routes::Quota;
-    /// let quota = Quota { in_tokens: true, untold_tokens: 200, units_per_s: 1e3, burst_units: 1e3 };
-    /// assert_eq!(quota.units_of(Some(1_540)), 1_540.0);
-    /// assert_eq!(quota.units_of(None), 200.0);
-    /// ```
+    /// let quota = Quota { in_tokens: true, untold_tokens: 200, units_per_s: 1e3, burst_units: 1e3
+    /// }; assert_eq!(quota.units_of(Some(1_540)), 1_540.0); assert_eq!(quota.units_of(None),
+    /// 200.0); ```
     pub fn units_of(&self, tokens: Option<u64>) -> f64 {
         if !self.in_tokens {
             return 1.0;
--- a/crates/routes/src/lib.rs
+++ b/crates/routes/src/lib.rs
@@ -1,8 +1,8 @@
-//! The route document, and the table by which requests find their route.
+//! The route document, and the table that looks up the route of a request.
 //!
-//! * [`document`] holds what operators submit as one whole.
-//! * [`check`] tells what makes a document invalid.
-//! * [`table`] finds the route of a request and the client account of a key.
+//! * [`document`] defines the document that operators submit as a whole.
+//! * [`check`] validates a document.
+//! * [`table`] looks up the route of a request and the client account of a key.
 #![deny(missing_docs, rust_2018_idioms)]
 #![forbid(unsafe_code)]
 
--- a/crates/routes/src/table.rs
+++ b/crates/routes/src/table.rs
@@ -1,16 +1,17 @@
-//! Finds the route of a request and the client account of a key.
+//! Looks up the route of a request and the client account of a key.
 
 use crate::{AccountSpec, Document, RouteSpec, ServiceSpec, Target};
 use lycheehub_types::{AccountName, ServiceName};
 use smol_str::SmolStr;
 use std::collections::BTreeMap;
 
-/// A document with its indices.
+/// A route document, indexed for lookups.
 #[derive(Clone, Debug, Default)]
 pub struct RouteTable {
     document: Document,
-    /// The routes of each host, the longest prefix first.
+    /// Indices of the routes of each host, the longest path prefix first.
     by_host: BTreeMap<SmolStr, Vec<usize>>,
+    /// The index of the client account of each key.
     by_key: BTreeMap<SmolStr, usize>,
     services: BTreeMap<ServiceName, usize>,
 }
@@ -27,22 +28,22 @@
     /// ```
     pub fn new(document: Document) -> Self {
         let mut by_host: BTreeMap<SmolStr, Vec<usize>> = BTreeMap::new();
-        for (place, route) in document.routes.iter().enumerate() {
-            by_host.entry(route.host.to_ascii_lowercase().into()).or_default().push(place);
+        for (index, route) in document.routes.iter().enumerate() {
+            by_host.entry(route.host.to_ascii_lowercase().into()).or_default().push(index);
         }
-        for places in by_host.values_mut() {
-            places
-                .sort_by_key(|place| std::cmp::Reverse(document.routes[*place].path_prefix.len()));
+        for indices in by_host.values_mut() {
+            indices
+                .sort_by_key(|index| std::cmp::Reverse(document.routes[*index].path_prefix.len()));
         }
         let keys =
-            document.accounts.iter().enumerate().flat_map(|(place, account)| {
-                account.keys.iter().map(move |key| (key.clone(), place))
+            document.accounts.iter().enumerate().flat_map(|(index, account)| {
+                account.keys.iter().map(move |key| (key.clone(), index))
             });
         let services = document.services.iter().enumerate();
         Self {
             by_host,
             by_key: keys.collect(),
-            services: services.map(|(place, service)| (service.name.clone(), place)).collect(),
+            services: services.map(|(index, service)| (service.name.clone(), index)).collect(),
             document,
         }
     }
@@ -52,51 +53,55 @@
         &self.document
     }
 
-    /// Returns the route of the host with the longest prefix that begins `path`.
+    /// Returns the route of `host` with the longest path prefix that matches `path`.
+    ///
+    /// A port in `host` is ignored unless a route names it.
     pub fn route(&self, host: &str, path: &str) -> Option<&RouteSpec> {
         let name = host.rsplit_once(':').map_or(host, |(name, _)| name);
-        let places = self
+        let indices = self
             .by_host
             .get(host.to_ascii_lowercase().as_str())
             .or_else(|| self.by_host.get(name.to_ascii_lowercase().as_str()))?;
-        let mut routes = places.iter().map(|place| &self.document.routes[*place]);
+        let mut routes = indices.iter().map(|index| &self.document.routes[*index]);
         routes.find(|route| path.starts_with(route.path_prefix.as_str()))
     }
 
-    /// Returns the client account that holds `key`.
+    /// Returns the client account that `key` belongs to.
     pub fn account_of(&self, key: &str) -> Option<&AccountSpec> {
-        self.by_key.get(key).map(|place| &self.document.accounts[*place])
+        self.by_key.get(key).map(|index| &self.document.accounts[*index])
     }
 
-    /// Returns the client account of this name.
+    /// Returns the client account with this name.
     pub fn account(&self, name: &AccountName) -> Option<&AccountSpec> {
         self.document.accounts.iter().find(|account| account.name == *name)
     }
 
-    /// Returns the service of this name.
+    /// Returns the service with this name.
     pub fn service(&self, name: &ServiceName) -> Option<&ServiceSpec> {
-        self.services.get(name).map(|place| &self.document.services[*place])
+        self.services.get(name).map(|index| &self.document.services[*index])
     }
 }
 
-/// Draws one of a route's services by weight; the same `seed` always draws the same one.
+/// Chooses one of a route's services at random in proportion to their weights.
+///
+/// The same `seed` always chooses the same service. Returns `None` if the weights add up to 0.
 ///
 /// # Examples
 /// ```
-/// use lycheehub_routes::{Target, table::draw_target};
+/// use lycheehub_routes::{Target, table::choose_target};
 ///
 /// let targets = [Target { service: "labels".into(), weight: 1 }];
-/// assert_eq!(draw_target(&targets, "request-7").unwrap().as_str(), "labels");
+/// assert_eq!(choose_target(&targets, "request-7").unwrap().as_str(), "labels");
 /// ```
-pub fn draw_target<'a>(targets: &'a [Target], seed: &str) -> Option<&'a ServiceName> {
+pub fn choose_target<'a>(targets: &'a [Target], seed: &str) -> Option<&'a ServiceName> {
     let sum: u64 = targets.iter().map(|target| u64::from(target.weight)).sum();
-    let mut drawn = xxhash_rust::xxh3::xxh3_64(seed.as_bytes()).checked_rem(sum)?;
+    let mut remainder = xxhash_rust::xxh3::xxh3_64(seed.as_bytes()).checked_rem(sum)?;
     for target in targets {
         let weight = u64::from(target.weight);
-        if drawn < weight {
+        if remainder < weight {
             return Some(&target.service);
         }
-        drawn -= weight;
+        remainder -= weight;
     }
     None
 }
--- a/crates/routes/tests/routes/main.rs
+++ b/crates/routes/tests/routes/main.rs
@@ -1,8 +1,8 @@
-//! Tests of the route document.
+//! Tests of the route document and its lookups.
 
 use googletest::prelude::*;
 use lycheehub_routes::check::{Error, check};
-use lycheehub_routes::table::draw_target;
+use lycheehub_routes::table::choose_target;
 use lycheehub_routes::{
     AccountSpec, Document, RequestKind, RouteSpec, RouteTable, ServiceSpec, Target,
 };
@@ -55,14 +55,14 @@
 }
 
 #[gtest]
-fn each_broken_rule_is_named() {
+fn each_violated_rule_is_reported() {
     let mut unknown = route("a", "h", "/a/");
     unknown.targets[0].service = "gone".into();
-    let mut weightless = route("a", "h", "/a/");
-    weightless.targets[0].weight = 0;
-    let mut hurried = route("a", "h", "/a/");
-    hurried.timeout_ms = 0;
-    let twice = vec![route("a", "h", "/a/"), route("b", "H", "/a/")];
+    let mut zero_weight = route("a", "h", "/a/");
+    zero_weight.targets[0].weight = 0;
+    let mut zero_timeout = route("a", "h", "/a/");
+    zero_timeout.timeout_ms = 0;
+    let duplicate = vec![route("a", "h", "/a/"), route("b", "H", "/a/")];
     let mut shared = document(vec![]);
     shared.accounts = vec![account("x", &["k1"]), account("y", &["k2", "k1"])];
 
@@ -70,14 +70,17 @@
         check(&document(vec![unknown])),
         err(eq(&Error::UnknownService("a".into(), "gone".into())))
     );
-    expect_that!(check(&document(vec![weightless])), err(eq(&Error::NoWeight("a".into()))));
-    expect_that!(check(&document(vec![hurried])), err(eq(&Error::NoTimeout("a".into()))));
-    expect_that!(check(&document(twice)), err(eq(&Error::SamePlace("a".into(), "b".into()))));
+    expect_that!(check(&document(vec![zero_weight])), err(eq(&Error::NoWeight("a".into()))));
+    expect_that!(check(&document(vec![zero_timeout])), err(eq(&Error::NoTimeout("a".into()))));
+    expect_that!(
+        check(&document(duplicate)),
+        err(eq(&Error::DuplicateRoute("a".into(), "b".into())))
+    );
     expect_that!(check(&shared), err(eq(&Error::SharedKey("x".into(), "y".into()))));
 }
 
 #[gtest]
-fn a_key_leads_to_its_account() {
+fn key_is_looked_up_to_its_account() {
     let mut document = document(vec![]);
     document.accounts = vec![account("x", &["k1"]), account("y", &["k2"])];
     let table = RouteTable::new(document);
@@ -86,14 +89,14 @@
 }
 
 #[gtest]
-fn weights_part_the_requests() {
+fn requests_are_distributed_by_weight() {
     let targets = [
         Target { service: "old".into(), weight: 90 },
         Target { service: "new".into(), weight: 10 },
         Target { service: "none".into(), weight: 0 },
     ];
-    let drawn = |n: u32| draw_target(&targets, &format!("r{n}")).map(|s| s.to_string());
-    let new = (0..10_000).filter(|n| drawn(*n).as_deref() == Some("new")).count();
+    let chosen = |n: u32| choose_target(&targets, &format!("r{n}")).map(|s| s.to_string());
+    let new = (0..10_000).filter(|n| chosen(*n).as_deref() == Some("new")).count();
     expect_that!(new, all![gt(850), lt(1_150)]);
-    expect_that!((0..10_000).any(|n| drawn(n).as_deref() == Some("none")), eq(false));
+    expect_that!((0..10_000).any(|n| chosen(n).as_deref() == Some("none")), eq(false));
 }
