--- a/crates/route/src/scheduler/admit.rs
+++ b/crates/route/src/scheduler/admit.rs
@@ -103,7 +103,7 @@
         (ahead_ms + typical_ms) / f64::from(slots.max(1))
     }
 
-    /// Raises the shed floor to `tier`, so that no lower tier is admitted for `floor_ms`.
+    /// Raises the shed floor to at least `tier` and keeps it in force for `floor_ms` from now.
     pub(super) fn raise_floor(&mut self, now_ms: u64, service: &ServiceName, tier: Tier) {
         let until_ms = now_ms + self.options.floor_ms;
         let Some(pool) = self.pools.get_mut(service) else { return };
@@ -128,7 +128,7 @@
         self.enforce_floor(now_ms, service, decisions);
     }
 
-    /// Sheds waiting requests below the shed floor, be it this instance's own or the view's.
+    /// Sheds waiting requests below the shed floor in force.
     pub(super) fn enforce_floor(
         &mut self,
         now_ms: u64,
@@ -187,7 +187,8 @@
         self.speed.request_ms(job.prompt_tokens, self.length_ratio.expected_tokens(job.max_tokens))
     }
 
-    /// Returns the shed floor in force at `now_ms`: the lowest tier admitted.
+    /// Returns the shed floor in force at `now_ms`, the lowest tier admitted: the higher one of
+    /// this instance's own and the view's.
     pub(super) fn floor_at(&self, now_ms: u64) -> Option<Tier> {
         let own = self.floor.filter(|(_, until_ms)| now_ms < *until_ms).map(|(floor, _)| floor);
         own.max(self.remote_floor)
