--- a/crates/control/src/directory/mod.rs
+++ b/crates/control/src/directory/mod.rs
@@ -1,70 +1,71 @@
-//! The endpoints by their announcements, as control replicas pass them on.
+//! Endpoints by their announcements, as propagated between control replicas.
 //!
-//! The replica that hears an endpoint watches over its lease, and passes on only what changes: a
-//! new endpoint, one that leaves, one whose lease has ended. Renewals stay where they arrive, so
-//! that what instances are sent does not grow with the number of endpoints.
+//! The replica that receives an endpoint's announcements monitors its lease. It propagates only
+//! changes: a new endpoint, a leaving endpoint, an expired lease. Renewals are not propagated, so
+//! that the traffic to instances does not grow with the number of endpoints.
 
-pub mod pace;
-mod tell;
+pub mod batching;
+mod changes;
 
-use tell::Order;
-pub use tell::{Changes, Heard};
+use changes::ChangeIndex;
+pub use changes::{Changes, Heard};
 
 use lycheehub_types::{EndpointName, EndpointRecord, InstanceName};
 use std::collections::BTreeMap;
 
-/// How long an announcement holds where it is heard, in milliseconds: three that are sent each
-/// 1,200 ms, and some delay.
+/// The lease duration of an announcement at the replica that received it, in milliseconds: three
+/// announcement intervals of 1,200 ms and some delay.
 pub const LEASE_MS: u64 = 4_500;
-/// How long the announcements heard by a replica hold after that replica is lost, in milliseconds:
-/// a lease, and the time in which endpoints find another replica.
+/// How long endpoints stay listed after their replica is lost, in milliseconds: a lease, and the
+/// time for endpoints to find another replica.
 pub const ORPHAN_MS: u64 = LEASE_MS + 4_000;
-/// How long an endpoint that is gone is remembered, in milliseconds.
-const FORGET_MS: u64 = 120_000;
+/// How long the entry of a gone endpoint is kept, in milliseconds.
+const GONE_RETENTION_MS: u64 = 120_000;
 
-/// An endpoint as it is passed on.
+/// An endpoint as propagated between replicas.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Listing {
-    /// What it last said of itself.
+    /// The endpoint's last announcement.
     pub record: EndpointRecord,
-    /// Its lease has ended, or it said that it leaves for good.
+    /// Whether the lease has expired or the endpoint was withdrawn.
     pub gone: bool,
-    /// It said that it leaves for good: later announcements of this incarnation do not count.
+    /// Whether the endpoint was withdrawn for good. Later announcements of the same incarnation are
+    /// ignored.
     pub withdrawn: bool,
 }
 
-/// Who watches over an endpoint's lease.
+/// The replica that monitors an endpoint's lease.
 #[derive(Clone, Debug, PartialEq, Eq)]
-enum Watcher {
-    /// This replica, which heard it last at this time, in milliseconds.
-    Here(u64),
+enum LeaseMonitor {
+    /// This replica. It received the last announcement at this time, in milliseconds.
+    Local(u64),
     /// Another replica.
     Peer(InstanceName),
-    /// A replica that has forgotten it since this time, in milliseconds.
+    /// None since this time, in milliseconds, because the monitoring replica restarted.
     Lost(u64),
 }
 
-/// Who told of an endpoint's last change.
+/// The origin of an endpoint's last change.
 #[derive(Clone, Debug, PartialEq, Eq)]
 enum Source {
-    /// The endpoint itself, or the end of its lease here.
-    Own,
-    /// The replica that heard the endpoint, up to a change of its own.
-    Heard(InstanceName, Heard),
-    /// A replica that passed on what another one told.
+    /// This replica: an announcement, a withdrawal or an expired lease.
+    Local,
+    /// The replica that detected the change, with its position in that replica's changes.
+    Replica(InstanceName, Heard),
+    /// A replica that relayed a change of another one.
     Relayed,
 }
 
 #[derive(Clone, Debug)]
 struct Entry {
     listing: Listing,
-    watcher: Watcher,
+    monitor: LeaseMonitor,
     source: Source,
     change: u64,
     changed_ms: u64,
 }
 
-/// All endpoints that were heard of.
+/// All known endpoints.
 ///
 /// # Examples
 /// ```
@@ -77,18 +78,18 @@
 #[derive(Clone, Debug, Default)]
 pub struct Directory {
     entries: BTreeMap<EndpointName, Entry>,
-    order: Order,
+    index: ChangeIndex,
     change: u64,
-    /// When each peer that is no longer heard was heard last, in milliseconds.
-    silent_since_ms: BTreeMap<InstanceName, u64>,
+    /// When each unreachable peer became unreachable, in milliseconds.
+    unreachable_since_ms: BTreeMap<InstanceName, u64>,
 }
 
 impl Directory {
-    /// Takes an announcement that was made here; tells whether it changes anything for others.
+    /// Records an announcement to this replica; tells whether the change must be propagated.
     pub fn announce(&mut self, now_ms: u64, record: EndpointRecord) -> bool {
         let Some(known) = self.entries.get_mut(&record.endpoint) else {
             let listing = Listing { record, gone: false, withdrawn: false };
-            return self.insert(now_ms, listing, Watcher::Here(now_ms), Source::Own);
+            return self.insert(now_ms, listing, LeaseMonitor::Local(now_ms), Source::Local);
         };
         let listing = &known.listing;
         if listing.record.freshness() >= record.freshness() {
@@ -106,30 +107,30 @@
             ..listing.record.clone()
         };
         let is_renewal =
-            renewed == record && !listing.gone && matches!(known.watcher, Watcher::Here(_));
+            renewed == record && !listing.gone && matches!(known.monitor, LeaseMonitor::Local(_));
         if is_renewal {
             known.listing.record = record;
-            known.watcher = Watcher::Here(now_ms);
+            known.monitor = LeaseMonitor::Local(now_ms);
             return false;
         }
         let listing = Listing { record, gone: false, withdrawn: false };
-        self.insert(now_ms, listing, Watcher::Here(now_ms), Source::Own)
+        self.insert(now_ms, listing, LeaseMonitor::Local(now_ms), Source::Local)
     }
 
-    /// Returns the other replica that watches over an endpoint's lease.
-    pub fn watcher_of(&self, name: &EndpointName) -> Option<&InstanceName> {
-        match &self.entries.get(name)?.watcher {
-            Watcher::Peer(peer) => Some(peer),
-            Watcher::Here(_) | Watcher::Lost(_) => None,
+    /// Returns the other replica that monitors an endpoint's lease.
+    pub fn lease_monitor(&self, name: &EndpointName) -> Option<&InstanceName> {
+        match &self.entries.get(name)?.monitor {
+            LeaseMonitor::Peer(peer) => Some(peer),
+            LeaseMonitor::Local(_) | LeaseMonitor::Lost(_) => None,
         }
     }
 
-    /// Tells whether an endpoint was heard of, also one that is gone.
-    pub fn knows(&self, name: &EndpointName) -> bool {
+    /// Tells whether an endpoint is known, including gone ones.
+    pub fn contains(&self, name: &EndpointName) -> bool {
         self.entries.contains_key(name)
     }
 
-    /// Takes the word of an endpoint that it leaves for good; tells whether it was known.
+    /// Withdraws an endpoint for good; tells whether this changed a known endpoint.
     pub fn withdraw(&mut self, now_ms: u64, name: &EndpointName) -> bool {
         let Some(known) = self.entries.get(name) else { return false };
         if known.listing.withdrawn {
@@ -139,68 +140,70 @@
         listing.record.leaving = true;
         listing.gone = true;
         listing.withdrawn = true;
-        self.insert(now_ms, listing, Watcher::Here(now_ms), Source::Own)
+        self.insert(now_ms, listing, LeaseMonitor::Local(now_ms), Source::Local)
     }
 
-    /// Takes what another replica has heard itself, up to `heard`; tells whether anything changed.
-    pub fn take(
+    /// Applies changes that another replica detected itself, up to position `heard`; tells whether
+    /// anything changed.
+    pub fn apply_direct(
         &mut self,
         now_ms: u64,
         from: &InstanceName,
         heard: Heard,
         listings: Vec<Listing>,
     ) -> bool {
-        self.take_all(now_ms, from, &Source::Heard(from.clone(), heard), listings)
+        self.apply_all(now_ms, from, &Source::Replica(from.clone(), heard), listings)
     }
 
-    /// Takes what another replica passes on of what others told it; tells whether anything changed.
-    pub fn take_relayed(
+    /// Applies changes that another replica relays; tells whether anything changed.
+    pub fn apply_relayed(
         &mut self,
         now_ms: u64,
         from: &InstanceName,
         listings: Vec<Listing>,
     ) -> bool {
-        self.take_all(now_ms, from, &Source::Relayed, listings)
+        self.apply_all(now_ms, from, &Source::Relayed, listings)
     }
 
-    fn take_all(
+    fn apply_all(
         &mut self,
         now_ms: u64,
         from: &InstanceName,
         source: &Source,
         listings: Vec<Listing>,
     ) -> bool {
-        self.silent_since_ms.remove(from);
+        self.unreachable_since_ms.remove(from);
         let mut changed = false;
         for listing in listings {
-            changed |= self.take_one(now_ms, from, source, listing);
+            changed |= self.apply_one(now_ms, from, source, listing);
         }
         changed
     }
 
-    fn take_one(
+    fn apply_one(
         &mut self,
         now_ms: u64,
         from: &InstanceName,
         source: &Source,
         mut listing: Listing,
     ) -> bool {
-        let watcher = Watcher::Peer(from.clone());
+        let monitor = LeaseMonitor::Peer(from.clone());
         let Some(known) = self.entries.get_mut(&listing.record.endpoint) else {
-            return self.insert(now_ms, listing, watcher, source.clone());
+            return self.insert(now_ms, listing, monitor, source.clone());
         };
         let (old, new) = (known.listing.record.freshness(), listing.record.freshness());
         let same = old.0 == new.0;
         listing.withdrawn |= same && known.listing.withdrawn;
         listing.gone |= listing.withdrawn;
         listing.record.leaving |= same && known.listing.record.leaving;
-        // Of two equally new ones, the one that says that the endpoint is gone goes before.
+        // At equal freshness, a listing that is gone takes precedence.
         let newer = new > old || (new == old && listing.gone && !known.listing.gone);
         let withdrawn_later = same && listing.withdrawn && !known.listing.withdrawn;
         if !newer && !withdrawn_later {
             if old == new && known.source == Source::Relayed {
-                // Whoever heard it goes before one that was told, and of those the last one does.
-                known.watcher = watcher;
+                // A replica that received the announcement directly replaces one that relayed it;
+                // among relays, the latest one counts.
+                known.monitor = monitor;
                 known.source = source.clone();
             }
             return false;
@@ -208,91 +211,98 @@
         if old > new {
             listing.record.sequence = old.1;
         }
-        self.insert(now_ms, listing, watcher, source.clone())
+        self.insert(now_ms, listing, monitor, source.clone())
     }
 
-    fn insert(&mut self, now_ms: u64, listing: Listing, watcher: Watcher, source: Source) -> bool {
+    fn insert(
+        &mut self,
+        now_ms: u64,
+        listing: Listing,
+        monitor: LeaseMonitor,
+        source: Source,
+    ) -> bool {
         self.change += 1;
         let endpoint = listing.record.endpoint.clone();
-        self.order.add(self.change, endpoint.clone(), &source);
-        let entry = Entry { listing, watcher, source, change: self.change, changed_ms: now_ms };
+        self.index.insert(self.change, endpoint.clone(), &source);
+        let entry = Entry { listing, monitor, source, change: self.change, changed_ms: now_ms };
         if let Some(before) = self.entries.insert(endpoint, entry) {
-            self.order.forget(before.change);
+            self.index.remove(before.change);
         }
         true
     }
 
-    /// Notes that a peer is not heard; what it watches over holds for some time yet.
-    pub fn note_silent(&mut self, now_ms: u64, peer: &InstanceName) {
-        self.silent_since_ms.entry(peer.clone()).or_insert(now_ms);
+    /// Marks a peer as unreachable. The endpoints that it monitors stay listed for [`ORPHAN_MS`].
+    pub fn mark_unreachable(&mut self, now_ms: u64, peer: &InstanceName) {
+        self.unreachable_since_ms.entry(peer.clone()).or_insert(now_ms);
     }
 
-    /// Notes that a peer was started again and so watches over nothing that it was told before.
-    pub fn note_restarted(&mut self, now_ms: u64, peer: &InstanceName) {
+    /// Marks a peer as restarted: it no longer monitors the endpoints that it announced before.
+    pub fn mark_restarted(&mut self, now_ms: u64, peer: &InstanceName) {
         for entry in self.entries.values_mut() {
-            if entry.watcher == Watcher::Peer(peer.clone()) {
-                entry.watcher = Watcher::Lost(now_ms);
+            if entry.monitor == LeaseMonitor::Peer(peer.clone()) {
+                entry.monitor = LeaseMonitor::Lost(now_ms);
             }
         }
     }
 
-    /// Ends the leases that are over; returns the endpoints that they belong to.
+    /// Expires leases; returns the endpoints that were removed from the list.
     ///
-    /// What nobody watches over any more is forgotten here, without a word to others: they may
-    /// still be in touch with its watcher.
+    /// An endpoint that no replica monitors any more is removed here only and not propagated,
+    /// because other replicas may still be in contact with its monitor.
     pub fn expire(&mut self, now_ms: u64) -> Vec<EndpointName> {
-        let mut over = self.end_leases(now_ms);
-        let silent = &self.silent_since_ms;
+        let mut expired = self.expire_leases(now_ms);
+        let unreachable = &self.unreachable_since_ms;
         let is_orphan = |entry: &Entry| {
-            let since_ms = match &entry.watcher {
-                Watcher::Here(_) => None,
-                Watcher::Peer(peer) => silent.get(peer).copied(),
-                Watcher::Lost(since_ms) => Some(*since_ms),
+            let since_ms = match &entry.monitor {
+                LeaseMonitor::Local(_) => None,
+                LeaseMonitor::Peer(peer) => unreachable.get(peer).copied(),
+                LeaseMonitor::Lost(since_ms) => Some(*since_ms),
             };
             since_ms.is_some_and(|since_ms| now_ms >= since_ms + ORPHAN_MS)
         };
-        let old = |entry: &Entry| entry.listing.gone && now_ms >= entry.changed_ms + FORGET_MS;
-        let order = &mut self.order;
+        let is_outdated =
+            |entry: &Entry| entry.listing.gone && now_ms >= entry.changed_ms + GONE_RETENTION_MS;
+        let index = &mut self.index;
         self.entries.retain(|name, entry| {
             let is_lost = is_orphan(entry) && !entry.listing.gone;
-            let is_forgotten = is_lost || old(entry);
+            let is_removed = is_lost || is_outdated(entry);
             if is_lost {
-                over.push(name.clone());
+                expired.push(name.clone());
             }
-            if is_forgotten {
-                order.forget(entry.change);
+            if is_removed {
+                index.remove(entry.change);
             }
-            !is_forgotten
+            !is_removed
         });
-        over
+        expired
     }
 
-    fn end_leases(&mut self, now_ms: u64) -> Vec<EndpointName> {
-        let is_over = |entry: &Entry| match entry.watcher {
-            Watcher::Here(heard_ms) => now_ms >= heard_ms + LEASE_MS,
-            Watcher::Peer(_) | Watcher::Lost(_) => false,
+    fn expire_leases(&mut self, now_ms: u64) -> Vec<EndpointName> {
+        let is_expired = |entry: &Entry| match entry.monitor {
+            LeaseMonitor::Local(heard_ms) => now_ms >= heard_ms + LEASE_MS,
+            LeaseMonitor::Peer(_) | LeaseMonitor::Lost(_) => false,
         };
         let entries = self.entries.iter();
-        let over: Vec<EndpointName> = entries
-            .filter(|(_, entry)| !entry.listing.gone && is_over(entry))
+        let expired: Vec<EndpointName> = entries
+            .filter(|(_, entry)| !entry.listing.gone && is_expired(entry))
             .map(|(name, _)| name.clone())
             .collect();
-        for name in &over {
+        for name in &expired {
             let Some(entry) = self.entries.get(name) else { continue };
             let listing = Listing { gone: true, ..entry.listing.clone() };
-            let watcher = entry.watcher.clone();
-            self.insert(now_ms, listing, watcher, Source::Own);
+            let monitor = entry.monitor.clone();
+            self.insert(now_ms, listing, monitor, Source::Local);
         }
-        over
+        expired
     }
 
-    /// Returns the number of the newest change.
+    /// Returns the number of the latest change.
     pub fn change(&self) -> u64 {
         self.change
     }
 
-    /// Returns the endpoints that are there, leaving ones included; of two at one address, the one
-    /// that was started last.
+    /// Returns the endpoints that are not gone, including leaving ones. Of two endpoints with the
+    /// same address, only the one with the higher incarnation is returned.
     pub fn live(&self) -> impl Iterator<Item = &EndpointRecord> {
         let mut by_address: BTreeMap<&str, &EndpointRecord> = BTreeMap::new();
         for entry in self.entries.values().filter(|entry| !entry.listing.gone) {
--- a/crates/control/src/lib.rs
+++ b/crates/control/src/lib.rs
@@ -1,12 +1,12 @@
-//! Replicated control state and the controllers over it, all pure.
+//! Replicated control state and its controllers, without I/O.
 //!
 //! * [`state`] is the state machine behind the replicated log: sections, moves and claims.
-//! * [`directory`] knows the endpoints by their announcements, as replicas pass them on.
-//! * [`registry`] knows the instances and endpoints by their leases.
-//! * [`slots`] shares the slots of endpoints out between instances.
-//! * [`moves`] plans version moves and compares versions.
-//! * [`placement`] orders endpoints to load versions.
-//! * [`view`] is what control state shows to the traffic threads.
+//! * [`directory`] tracks endpoints by their announcements and propagates changes between replicas.
+//! * [`registry`] tracks instances and endpoints by their leases.
+//! * [`slots`] allocates endpoint slots to instances.
+//! * [`moves`] schedules version moves and compares versions.
+//! * [`placement`] decides which endpoints load which version.
+//! * [`view`] is the read-only snapshot of control state for the traffic threads.
 #![deny(missing_docs, rust_2018_idioms)]
 #![forbid(unsafe_code)]
 
--- a/crates/control/src/moves/mod.rs
+++ b/crates/control/src/moves/mod.rs
@@ -1,4 +1,4 @@
-//! Version moves: the plan, the comparison of versions and the controller.
+//! Version moves: the schedule, the comparison of versions and the controllers.
 
 mod controller;
 mod observation;
@@ -6,8 +6,8 @@
 mod rollout;
 mod sequential;
 
-pub use controller::{Controller, Supply};
+pub use controller::{MoveController, SlotsByVersion};
 pub use observation::{Observation, ObservationKey, Observations};
-pub use plan::{Plan, is_in_time, next_share_permille};
-pub use rollout::{Rollouts, Versions};
+pub use plan::{Plan, is_on_schedule, next_share_permille};
+pub use rollout::{RolloutController, VersionCapacity};
 pub use sequential::{Comparison, Side, Verdict};
--- a/crates/control/src/moves/observation.rs
+++ b/crates/control/src/moves/observation.rs
@@ -1,10 +1,10 @@
-//! What was seen of versions: counts that add up, so that instances can pass them on.
+//! Outcomes of requests per version: sums that can be merged across instances.
 
 use lycheehub_types::{Route, ServiceName, Version};
 use std::collections::BTreeMap;
 use std::ops::AddAssign;
 
-/// What is observed: one version of one service on one route.
+/// The service, version and route of an observation.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct ObservationKey {
     /// The service.
@@ -27,20 +27,20 @@
 /// ```
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Observation {
-    /// Finished requests.
+    /// The number of finished requests.
     pub requests: u64,
-    /// Those that failed by the endpoint's fault.
+    /// The number of requests that failed because of the endpoint.
     pub failures: u64,
-    /// Those whose time per token is known.
+    /// The number of requests whose time per token is known.
     pub timed: u64,
-    /// The sum of the natural logarithms of time per token in milliseconds.
+    /// The sum of the natural logarithms of the time per token in milliseconds.
     pub log_time_sum: f64,
     /// The sum of the squares of those logarithms.
     pub log_time_square_sum: f64,
 }
 
 impl Observation {
-    /// Makes the observation of a request answered at `token_ms` milliseconds per token.
+    /// Creates the observation of a request that succeeded at `token_ms` milliseconds per token.
     pub fn success(token_ms: f64) -> Self {
         const SHORTEST_MS: f64 = 0.001;
         let log = token_ms.max(SHORTEST_MS).ln();
@@ -53,17 +53,17 @@
         }
     }
 
-    /// Makes the observation of a failed request.
+    /// Creates the observation of a failed request.
     pub fn failure() -> Self {
         Self { requests: 1, failures: 1, ..Self::default() }
     }
 
-    /// Returns the mean logarithm of time per token.
+    /// Returns the mean logarithm of the time per token.
     pub fn log_mean(&self) -> f64 {
         if self.timed == 0 { 0.0 } else { self.log_time_sum / self.timed as f64 }
     }
 
-    /// Returns the variance of the logarithm of time per token.
+    /// Returns the variance of the logarithm of the time per token.
     pub fn log_variance(&self) -> f64 {
         if self.timed < 2 {
             return 0.0;
--- a/crates/control/src/moves/plan.rs
+++ b/crates/control/src/moves/plan.rs
@@ -1,20 +1,22 @@
-//! The plan of a move, laid back from the time by which it must be done.
+//! The schedule of a move, computed backwards from its deadline.
 
 use crate::state::{MoveRecord, Phase};
 
-/// The shares of traffic that the new version gets in turn, in thousandths; the first is the
-/// canary's. The last one leaves the old version enough to compare with until the move is done.
+/// The shares of traffic that the new version receives in turn, in thousandths; the first is the
+/// canary's. The last share leaves the old version enough traffic for the comparison until the move
+/// is done.
 pub const SHARES_PERMILLE: [u32; 7] = [20, 50, 100, 250, 500, 750, 980];
-/// The part of the time that the canary may take, in thousandths.
+/// The part of the total time reserved for the canary, in thousandths.
 const CANARY_PERMILLE: u64 = 500;
-/// The part of the time that the old version stays loaded after the last step, in thousandths.
+/// The part of the total time that the old version stays loaded after the last step, in
+/// thousandths.
 const SOAK_PERMILLE: u64 = 100;
-/// The longest soak, in milliseconds.
+/// The maximum soak time, in milliseconds.
 const SOAK_MAX_MS: u64 = 10 * 60 * 1_000;
-/// The shortest time between two steps, in milliseconds.
-pub const DWELL_MIN_MS: u64 = 2_000;
+/// The minimum time between two steps, in milliseconds.
+pub const MIN_STEP_INTERVAL_MS: u64 = 2_000;
 
-/// When a move's steps are due, in milliseconds since the Unix epoch.
+/// The times at which a move's steps are due, in milliseconds since the Unix epoch.
 ///
 /// # Examples
 /// ```
@@ -31,12 +33,12 @@
 }
 
 impl Plan {
-    /// Lays a plan between the time a move begins and the time it must be done.
+    /// Creates a schedule from the start of a move to its deadline.
     pub fn new(begins_unix_ms: u64, by_unix_ms: u64) -> Self {
         Self { begins_unix_ms, by_unix_ms: by_unix_ms.max(begins_unix_ms) }
     }
 
-    /// Returns when the new version must have all traffic, so that the soak ends in time.
+    /// Returns when the soak must begin to end by the deadline.
     pub fn soak_begins_unix_ms(&self) -> u64 {
         self.by_unix_ms - self.soak_ms()
     }
@@ -47,7 +49,7 @@
         (total_ms * SOAK_PERMILLE / 1_000).min(SOAK_MAX_MS)
     }
 
-    /// Returns when step `number` is due even without proof that the version is good.
+    /// Returns when step `number` is due even if the comparison has not cleared the version.
     pub fn step_due_unix_ms(&self, number: usize) -> u64 {
         let total_ms = self.soak_begins_unix_ms() - self.begins_unix_ms;
         let canary_ms = total_ms * CANARY_PERMILLE / 1_000;
@@ -57,7 +59,7 @@
     }
 }
 
-/// Returns the share of traffic that the new version gets next, in thousandths.
+/// Returns the next share of traffic for the new version, in thousandths.
 pub fn next_share_permille(record: &MoveRecord) -> u32 {
     if matches!(record.phase, Phase::Planned | Phase::Loading) {
         return SHARES_PERMILLE[0];
@@ -66,12 +68,12 @@
     next.unwrap_or(record.share_permille)
 }
 
-/// Tells whether a move is done, or can still be done in time with the shortest time at each step.
-pub fn is_in_time(now_unix_ms: u64, record: &MoveRecord) -> bool {
+/// Tells whether a move met its deadline, or can still meet it with the minimum time between steps.
+pub fn is_on_schedule(now_unix_ms: u64, record: &MoveRecord) -> bool {
     let left = SHARES_PERMILLE.iter().filter(|share| **share > record.share_permille).count();
     match record.phase {
         Phase::Done => record.step_unix_ms <= record.spec.by_unix_ms,
         Phase::Reverted | Phase::Superseded => false,
-        _ => now_unix_ms + left as u64 * DWELL_MIN_MS <= record.spec.by_unix_ms,
+        _ => now_unix_ms + left as u64 * MIN_STEP_INTERVAL_MS <= record.spec.by_unix_ms,
     }
 }
--- a/crates/control/src/moves/rollout.rs
+++ b/crates/control/src/moves/rollout.rs
@@ -1,8 +1,9 @@
-//! The leader's controller of rollouts that operators order with a time limit of seconds.
+//! The leader's controller of rollouts, which operators order with a time limit of seconds.
 //!
-//! A version may turn bad late, under load or on one route only, and must get little until its time
-//! is nearly over. So it gets a small share for most of its time, and all at the end, if nothing
-//! speaks against it; old endpoints have then nothing left to do when they are stopped.
+//! A version may regress late, only under load or on only one route, and must receive little
+//! traffic until shortly before the deadline. It therefore receives a small share for most of the
+//! time and all traffic at the end, unless the comparison finds a regression. The endpoints of the
+//! old version then have no running requests when they are stopped.
 
 use super::sequential::{Comparison, Side, Verdict};
 use super::{Observation, Observations};
@@ -11,52 +12,52 @@
 use smol_str::{SmolStr, format_smolstr};
 use std::collections::BTreeMap;
 
-/// The share of requests that a new version gets to be compared, in thousandths: with what it gets
-/// at the end it stays about the tenth that a bad version may have.
+/// The share of requests for a new version under comparison, in thousandths. Including the full
+/// share at the end, a bad version stays at about the tenth of the requests that it may receive.
 const CANARY_PERMILLE: u32 = 60;
 /// All requests, in thousandths.
-const WHOLE_PERMILLE: u32 = 1_000;
-/// How long before its time is over a version gets all requests, at most, in milliseconds: as long
-/// as most requests to the old version take to end.
-const LAST_MS: u64 = 2_500;
-/// The part of the time that this may be, in thousandths.
-const LAST_PERMILLE: u64 = 250;
-/// How long before its time is over a rollout is ended in any case, in milliseconds.
-const END_MS: u64 = 400;
-/// Steps are taken only while the alarm is below this part of its threshold.
-const QUIET_LEVEL: f64 = 0.5;
-/// How many answers of a new version it takes to say that nothing speaks against it.
-const ANSWERS_MIN: u64 = 20;
-/// How often windows of the comparison are closed, in milliseconds.
-const WINDOW_MS: u64 = 500;
+const FULL_PERMILLE: u32 = 1_000;
+/// The maximum time before the deadline at which the new version receives all requests, in
+/// milliseconds. Most requests to the old version finish within this time.
+const FULL_SHARE_MAX_MS: u64 = 2_500;
+/// The maximum part of the rollout's duration for the full share, in thousandths.
+const FULL_SHARE_MAX_PERMILLE: u64 = 250;
+/// How long before the deadline a rollout is ended in any case, in milliseconds.
+const DEADLINE_MARGIN_MS: u64 = 400;
+/// The full share is given only while the alarm is below this fraction of its threshold.
+const QUIET_ALARM_LEVEL: f64 = 0.5;
+/// The minimum number of requests to the new version before it may receive the full share.
+const MIN_REQUESTS: u64 = 20;
+/// How often comparison windows are closed, in milliseconds.
+const WINDOW_INTERVAL_MS: u64 = 500;
 
-/// What there is of the two versions of a service.
+/// The current use of the two versions of a service.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Versions {
-    /// The slots of endpoints of the new version.
+pub struct VersionCapacity {
+    /// The slots of endpoints with the new version.
     pub new_slots: u32,
-    /// The requests that run at endpoints of other versions.
+    /// The number of running requests at endpoints with other versions.
     pub old_running: usize,
 }
 
-/// Decides the steps of rollouts from what is observed.
+/// Decides the steps of rollouts from the observed outcomes.
 ///
-/// What it keeps may be lost with the leader: shares and ends are replicated, and the comparison
-/// starts anew.
+/// Its state need not survive a leader change: shares and final states are replicated, and the
+/// comparison starts over.
 #[derive(Clone, Debug, Default)]
-pub struct Rollouts {
-    watches: BTreeMap<ServiceName, Watch>,
+pub struct RolloutController {
+    trackers: BTreeMap<ServiceName, RolloutTracker>,
 }
 
 #[derive(Clone, Debug)]
-struct Watch {
+struct RolloutTracker {
     ordered_unix_ms: u64,
     comparison: Comparison,
     windows_closed_unix_ms: u64,
 }
 
-impl Rollouts {
-    /// Takes what was observed of the versions of services.
+impl RolloutController {
+    /// Adds the observed outcomes per version.
     pub fn observe(&mut self, state: &State, observations: &Observations) {
         for (key, observation) in observations {
             let Some(record) = running(state, &key.service) else { continue };
@@ -66,41 +67,43 @@
     }
 
     fn add(&mut self, record: &RolloutRecord, side: Side, route: &Route, observation: Observation) {
-        self.watch(record).comparison.add(side, route, observation);
+        self.tracker(record).comparison.add(side, route, observation);
     }
 
-    fn watch(&mut self, record: &RolloutRecord) -> &mut Watch {
+    fn tracker(&mut self, record: &RolloutRecord) -> &mut RolloutTracker {
         let ordered_unix_ms = record.order.now_unix_ms;
-        let new = || Watch {
+        let new = || RolloutTracker {
             ordered_unix_ms,
             comparison: Comparison::default(),
             windows_closed_unix_ms: ordered_unix_ms,
         };
-        let watch = self.watches.entry(record.order.service.clone()).or_insert_with(new);
-        if watch.ordered_unix_ms != ordered_unix_ms {
-            *watch = new();
+        let tracker = self.trackers.entry(record.order.service.clone()).or_insert_with(new);
+        if tracker.ordered_unix_ms != ordered_unix_ms {
+            *tracker = new();
         }
-        watch
+        tracker
     }
 
-    /// Decides the steps that are due now.
+    /// Returns the steps that are due now.
     pub fn tick(
         &mut self,
         now_unix_ms: u64,
         state: &State,
-        versions: impl Fn(&RolloutRecord) -> Versions,
+        capacity_of: impl Fn(&RolloutRecord) -> VersionCapacity,
     ) -> Vec<RolloutStep> {
-        self.watches.retain(|service, _| running(state, service).is_some());
+        self.trackers.retain(|service, _| running(state, service).is_some());
         let records = state.rollouts.values();
         let records = records.filter(|record| record.state == RolloutState::Running);
         let mut steps = Vec::new();
         for record in records {
-            let watch = self.watch(record);
-            if now_unix_ms >= watch.windows_closed_unix_ms + WINDOW_MS {
-                watch.comparison.close_windows();
-                watch.windows_closed_unix_ms = now_unix_ms;
+            let tracker = self.tracker(record);
+            if now_unix_ms >= tracker.windows_closed_unix_ms + WINDOW_INTERVAL_MS {
+                tracker.comparison.close_windows();
+                tracker.windows_closed_unix_ms = now_unix_ms;
             }
-            let Some(next) = decide(now_unix_ms, record, watch, versions(record)) else { continue };
+            let Some(next) = decide(now_unix_ms, record, tracker, capacity_of(record)) else {
+                continue;
+            };
             steps.push(RolloutStep {
                 service: record.order.service.clone(),
                 after_revision: record.revision,
@@ -118,14 +121,14 @@
     state.rollouts.get(service).filter(|record| record.state == RolloutState::Running)
 }
 
-struct Next {
+struct NextStep {
     state: RolloutState,
     share_permille: u32,
     reason: SmolStr,
 }
 
-impl Next {
-    fn back(reason: SmolStr) -> Option<Self> {
+impl NextStep {
+    fn roll_back(reason: SmolStr) -> Option<Self> {
         Some(Self { state: RolloutState::RolledBack, share_permille: 0, reason })
     }
 }
@@ -133,35 +136,36 @@
 fn decide(
     now_unix_ms: u64,
     record: &RolloutRecord,
-    watch: &Watch,
-    versions: Versions,
-) -> Option<Next> {
-    let summary = || watch.comparison.summary();
-    if let Verdict::Bad(reason) = watch.comparison.verdict() {
-        return Next::back(reason);
+    tracker: &RolloutTracker,
+    capacity: VersionCapacity,
+) -> Option<NextStep> {
+    let summary = || tracker.comparison.summary();
+    if let Verdict::Regressed(reason) = tracker.comparison.verdict() {
+        return NextStep::roll_back(reason);
     }
     let left_ms = (record.order.now_unix_ms + record.order.duration_ms).saturating_sub(now_unix_ms);
-    let is_quiet = watch.comparison.alarm_level() < QUIET_LEVEL
-        && watch.comparison.new_requests() >= ANSWERS_MIN;
-    if record.share_permille == WHOLE_PERMILLE {
-        let is_done = versions.old_running == 0 || left_ms <= END_MS;
+    let is_quiet = tracker.comparison.alarm_level() < QUIET_ALARM_LEVEL
+        && tracker.comparison.new_requests() >= MIN_REQUESTS;
+    if record.share_permille == FULL_PERMILLE {
+        let is_done = capacity.old_running == 0 || left_ms <= DEADLINE_MARGIN_MS;
         let reason = format_smolstr!("done: {}", summary());
         let state = RolloutState::Completed;
-        return is_done.then_some(Next { state, share_permille: WHOLE_PERMILLE, reason });
+        return is_done.then_some(NextStep { state, share_permille: FULL_PERMILLE, reason });
     }
-    if left_ms <= END_MS {
-        return Next::back(format_smolstr!("not known to be good in time: {}", summary()));
+    if left_ms <= DEADLINE_MARGIN_MS {
+        return NextStep::roll_back(format_smolstr!("not known to be good in time: {}", summary()));
     }
-    if versions.new_slots == 0 {
+    if capacity.new_slots == 0 {
         return None;
     }
-    let last_ms = LAST_MS.min(record.order.duration_ms * LAST_PERMILLE / 1_000);
-    let (share_permille, reason) = if left_ms <= last_ms + END_MS && is_quiet {
-        (WHOLE_PERMILLE, format_smolstr!("nothing speaks against it: {}", summary()))
+    let full_share_ms =
+        FULL_SHARE_MAX_MS.min(record.order.duration_ms * FULL_SHARE_MAX_PERMILLE / 1_000);
+    let (share_permille, reason) = if left_ms <= full_share_ms + DEADLINE_MARGIN_MS && is_quiet {
+        (FULL_PERMILLE, format_smolstr!("nothing speaks against it: {}", summary()))
     } else if record.share_permille == 0 {
         (CANARY_PERMILLE, "endpoints of the new version are there".into())
     } else {
         return None;
     };
-    Some(Next { state: RolloutState::Running, share_permille, reason })
+    Some(NextStep { state: RolloutState::Running, share_permille, reason })
 }
--- a/crates/control/src/placement.rs
+++ b/crates/control/src/placement.rs
@@ -1,9 +1,9 @@
-//! Placement: which endpoints are ordered to load which version.
+//! Placement: decides which endpoints load which version.
 //!
-//! Loads pass one token bucket, since the weight store is rate-limited; moves whose time is nearest
-//! go first. Every order carries a fencing number. An endpoint has at most one order outstanding,
-//! and one that ignores fencing numbers gets none until every order of an earlier leader has
-//! timed out.
+//! The weight store is rate-limited, so all loads share one token bucket, and moves with the
+//! nearest deadline go first. Every order carries a fencing token. An endpoint has at most one
+//! outstanding order. An endpoint that ignores fencing tokens receives no order until every order
+//! of an earlier leader has timed out.
 
 use crate::moves::next_share_permille;
 use crate::state::{MoveRecord, State};
@@ -12,86 +12,87 @@
 use smol_str::SmolStr;
 use std::collections::BTreeMap;
 
-/// How long an order may take on its way, in milliseconds; after that it is not sent.
+/// How long an order may take to deliver, in milliseconds; it is not sent after that.
 pub const ORDER_TIMEOUT_MS: u64 = 2_000;
-/// How long a new leader leaves endpoints alone that ignore fencing numbers, in milliseconds.
-const SETTLE_MS: u64 = ORDER_TIMEOUT_MS + 1_000;
-/// How long an endpoint may take to load before it is ordered again, in milliseconds.
+/// How long a new leader waits before it sends orders to endpoints that ignore fencing tokens, in
+/// milliseconds.
+const NEW_LEADER_DELAY_MS: u64 = ORDER_TIMEOUT_MS + 1_000;
+/// How long an endpoint may take to load a version before the order is repeated, in milliseconds.
 const LOAD_TIMEOUT_MS: u64 = 120_000;
-/// How many loads the weight store allows in a row.
+/// The burst of loads that the weight store allows.
 const LOADS_BURST: f64 = 2.0;
-/// How many loads the weight store allows in a minute.
+/// The sustained number of loads per minute that the weight store allows.
 const LOADS_PER_MINUTE: f64 = 12.0;
 
-/// The number by which an endpoint tells an old leader's order from a new one's.
+/// A fencing token by which an endpoint rejects orders of an earlier leader.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
-pub struct Fence {
+pub struct FencingToken {
     /// The leader's term.
     pub term: u64,
-    /// Counts the leader's orders.
+    /// The number of this order within the term.
     pub counter: u64,
 }
 
-/// An order to load a version.
+/// An order to an endpoint to load a version.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Order {
+pub struct LoadOrder {
     /// The endpoint.
     pub endpoint: EndpointName,
-    /// Where it listens, as `address:port`.
+    /// The endpoint's listen address, as `address:port`.
     pub address: SmolStr,
     /// The service.
     pub service: ServiceName,
     /// The version to load.
     pub version: Version,
-    /// The fencing number.
-    pub fence: Fence,
-    /// When the order must not be sent any more, in milliseconds by the leader's clock.
+    /// The fencing token.
+    pub fence: FencingToken,
+    /// The time after which the order must not be sent, in milliseconds by the leader's clock.
     pub valid_until_ms: u64,
 }
 
-/// What the leader knows of its leadership.
+/// The leader's current term and lease.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Leadership {
     /// The term.
     pub term: u64,
-    /// Since when it leads, in milliseconds by its clock.
+    /// When leadership began, in milliseconds by the leader's clock.
     pub since_ms: u64,
-    /// When its lease ends, in milliseconds by its clock.
+    /// When the leader's lease ends, in milliseconds by its clock.
     pub lease_until_ms: u64,
 }
 
-/// Decides orders; what it keeps may be lost with the leader.
+/// Decides load orders. Its state need not survive a leader change.
 ///
 /// # Examples
 /// ```
-/// use lycheehub_control::placement::{Leadership, Placer};
+/// use lycheehub_control::placement::{Leadership, PlacementController};
 ///
 /// let leadership = Leadership { term: 2, since_ms: 0, lease_until_ms: 9_000 };
-/// let orders = Placer::default().tick(8_000, leadership, &Default::default(), &[]);
+/// let orders = PlacementController::default().tick(8_000, leadership, &Default::default(), &[]);
 /// assert!(orders.is_empty());
 /// ```
 #[derive(Clone, Debug, Default)]
-pub struct Placer {
+pub struct PlacementController {
     term: u64,
     counter: u64,
-    loads: f64,
+    load_tokens: f64,
     refilled_ms: u64,
     outstanding: BTreeMap<EndpointName, (Version, u64)>,
 }
 
-impl Placer {
-    /// Decides the orders that are due now, of the endpoints that are live.
+impl PlacementController {
+    /// Returns the orders that are due now for the live endpoints.
     pub fn tick(
         &mut self,
         now_ms: u64,
         leadership: Leadership,
         state: &State,
         live: &[&EndpointRecord],
-    ) -> Vec<Order> {
+    ) -> Vec<LoadOrder> {
         if self.term != leadership.term {
             *self = Self {
                 term: leadership.term,
-                loads: LOADS_BURST,
+                load_tokens: LOADS_BURST,
                 refilled_ms: now_ms,
                 ..Self::default()
             };
@@ -103,20 +104,23 @@
             !loaded && now_ms < *since_ms + LOAD_TIMEOUT_MS
         });
         let mut orders = Vec::new();
-        for (record, version) in self.wanted(state, live) {
-            let may = record.fencing || now_ms >= leadership.since_ms + SETTLE_MS;
-            if !may || self.loads < 1.0 || self.outstanding.contains_key(&record.endpoint) {
+        for (record, version) in self.pending_loads(state, live) {
+            let may_order = record.fencing || now_ms >= leadership.since_ms + NEW_LEADER_DELAY_MS;
+            if !may_order
+                || self.load_tokens < 1.0
+                || self.outstanding.contains_key(&record.endpoint)
+            {
                 continue;
             }
-            self.loads -= 1.0;
+            self.load_tokens -= 1.0;
             self.counter += 1;
             self.outstanding.insert(record.endpoint.clone(), (version.clone(), now_ms));
-            orders.push(Order {
+            orders.push(LoadOrder {
                 endpoint: record.endpoint.clone(),
                 address: record.address.clone(),
                 service: record.service.clone(),
                 version,
-                fence: Fence { term: leadership.term, counter: self.counter },
+                fence: FencingToken { term: leadership.term, counter: self.counter },
                 valid_until_ms: leadership.lease_until_ms.min(now_ms + ORDER_TIMEOUT_MS),
             });
         }
@@ -125,13 +129,14 @@
 
     fn refill(&mut self, now_ms: u64) {
         const MINUTE_MS: f64 = 60_000.0;
-        let passed_ms = now_ms.saturating_sub(self.refilled_ms) as f64;
-        self.loads = (self.loads + passed_ms * LOADS_PER_MINUTE / MINUTE_MS).min(LOADS_BURST);
+        let elapsed_ms = now_ms.saturating_sub(self.refilled_ms) as f64;
+        self.load_tokens =
+            (self.load_tokens + elapsed_ms * LOADS_PER_MINUTE / MINUTE_MS).min(LOADS_BURST);
         self.refilled_ms = now_ms;
     }
 
     /// Returns the endpoints that should load another version, most urgent first.
-    fn wanted<'a>(
+    fn pending_loads<'a>(
         &self,
         state: &State,
         live: &[&'a EndpointRecord],
@@ -139,9 +144,9 @@
         let mut moves: Vec<&MoveRecord> =
             state.moves.values().filter(|record| !record.phase.is_final()).collect();
         moves.sort_by_key(|record| record.spec.by_unix_ms);
-        let mut wanted = Vec::new();
+        let mut pending = Vec::new();
         for record in &moves {
-            wanted.extend(self.wanted_by_move(record, live));
+            pending.extend(self.next_load_of_move(record, live));
         }
         for endpoint in live.iter().filter(|endpoint| endpoint.takes_orders) {
             let Some(serving) = state.serving(&endpoint.service) else { continue };
@@ -150,15 +155,16 @@
                 record.spec.service == endpoint.service && versions.contains(&&endpoint.version)
             });
             if endpoint.version != serving && !in_move {
-                wanted.push((*endpoint, serving));
+                pending.push((*endpoint, serving));
             }
         }
-        wanted
+        pending
     }
 
-    /// A move needs as many endpoints as its next share of traffic fills, taken from the failure
-    /// domain that has the most of the old version, and leaves the old version one.
-    fn wanted_by_move<'a>(
+    /// Returns the next endpoint to load the version of a move, if one is needed. The move needs
+    /// enough endpoints to carry its next share of traffic. They are taken from the failure domain
+    /// with the most endpoints of the old version, and at least one endpoint keeps the old version.
+    fn next_load_of_move<'a>(
         &self,
         record: &MoveRecord,
         live: &[&'a EndpointRecord],
--- a/crates/control/src/registry/delta.rs
+++ b/crates/control/src/registry/delta.rs
@@ -1,14 +1,14 @@
-//! What one instance tells another: the records that changed since it last told it.
+//! Gossip deltas: the records that changed since a peer was last sent a delta.
 
-use super::{FORGET_MS, Known, Registry};
+use super::{RETENTION_MS, Registry, RegistryEntry};
 use lycheehub_types::{EndpointLoad, EndpointRecord, InstanceRecord};
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-/// How far a peer has been told of changes.
+/// The position up to which a peer has received changes.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Cursor(u64);
 
-/// A new sequence number and load of an endpoint whose record the receiver has.
+/// A new sequence number and load for an endpoint whose record the receiver has.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Renewal {
     /// A digest of the endpoint's name and incarnation.
@@ -19,7 +19,7 @@
     pub load: EndpointLoad,
 }
 
-/// A new sequence number of an instance whose record the receiver has.
+/// A new sequence number and revision in force for an instance whose record the receiver has.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct InstanceRenewal {
     /// A digest of the instance's name and incarnation.
@@ -37,9 +37,9 @@
     pub instances: Vec<(InstanceRecord, u64)>,
     /// Changed endpoints.
     pub endpoints: Vec<(EndpointRecord, u64)>,
-    /// Endpoints of which only the sequence number and the load changed.
+    /// Endpoints with only a new sequence number and load.
     pub renewals: Vec<(Renewal, u64)>,
-    /// Instances of which only the sequence number and the revision in force changed.
+    /// Instances with only a new sequence number and revision in force.
     pub instance_renewals: Vec<(InstanceRenewal, u64)>,
 }
 
@@ -54,19 +54,19 @@
 }
 
 impl Registry {
-    /// Returns the records that changed after `cursor`, and the cursor after them.
+    /// Returns the records that changed after `cursor`, and the cursor for the next delta.
     pub fn delta_after(&self, now_ms: u64, cursor: Cursor) -> (Delta, Cursor) {
         let age_ms = |made_ms: u64| now_ms.saturating_sub(made_ms);
         let mut delta = Delta::default();
         for known in self.instances.values().filter(|known| known.change > cursor.0) {
-            if known.described > cursor.0 {
+            if known.full_change > cursor.0 {
                 delta.instances.push((known.record.clone(), age_ms(known.made_ms)));
             } else {
                 delta.instance_renewals.push((instance_renewal_of(known), age_ms(known.made_ms)));
             }
         }
         for known in self.endpoints.values().filter(|known| known.change > cursor.0) {
-            if known.described > cursor.0 {
+            if known.full_change > cursor.0 {
                 delta.endpoints.push((known.record.clone(), age_ms(known.made_ms)));
             } else {
                 delta.renewals.push((renewal_of(known), age_ms(known.made_ms)));
@@ -75,36 +75,37 @@
         (delta, Cursor(self.changes))
     }
 
-    /// Returns the cursor of a peer that knows all that is known here.
+    /// Returns the cursor of a peer that has received all changes.
     pub fn cursor(&self) -> Cursor {
         Cursor(self.changes)
     }
 
-    /// Takes a peer's delta; tells whether any record was news.
-    pub fn take_delta(&mut self, now_ms: u64, delta: Delta) -> bool {
-        let mut news = false;
+    /// Applies a peer's delta; tells whether it changed any record.
+    pub fn apply_delta(&mut self, now_ms: u64, delta: Delta) -> bool {
+        let mut changed = false;
         for (record, age_ms) in delta.instances {
-            news |= age_ms < FORGET_MS && self.take_instance(now_ms, record, age_ms);
+            changed |= age_ms < RETENTION_MS && self.update_instance(now_ms, record, age_ms);
         }
         for (record, age_ms) in delta.endpoints {
-            news |= age_ms < FORGET_MS && self.take_endpoint(now_ms, record, age_ms);
+            changed |= age_ms < RETENTION_MS && self.update_endpoint(now_ms, record, age_ms);
         }
         for (renewal, age_ms) in delta.renewals {
-            news |= age_ms < FORGET_MS && self.take_renewal(now_ms, renewal, age_ms);
+            changed |= age_ms < RETENTION_MS && self.apply_renewal(now_ms, renewal, age_ms);
         }
         for (renewal, age_ms) in delta.instance_renewals {
-            news |= age_ms < FORGET_MS && self.take_instance_renewal(now_ms, renewal, age_ms);
+            changed |=
+                age_ms < RETENTION_MS && self.apply_instance_renewal(now_ms, renewal, age_ms);
         }
-        news
+        changed
     }
 
-    /// Tells once whether a renewal came for a record that is not known here, so that a peer
-    /// must be asked for all records.
-    pub fn take_lacking(&mut self) -> bool {
-        std::mem::take(&mut self.lacking)
+    /// Tells whether a renewal arrived for an unknown record since the last call. A full sync must
+    /// then be requested from a peer.
+    pub fn take_needs_full_sync(&mut self) -> bool {
+        std::mem::take(&mut self.needs_full_sync)
     }
 
-    fn take_instance_renewal(
+    fn apply_instance_renewal(
         &mut self,
         now_ms: u64,
         renewal: InstanceRenewal,
@@ -112,7 +113,7 @@
     ) -> bool {
         let name = self.instance_keys.get(&renewal.key);
         let Some(known) = name.and_then(|name| self.instances.get(name)) else {
-            self.lacking = true;
+            self.needs_full_sync = true;
             return false;
         };
         if instance_key_of(&known.record) != renewal.key {
@@ -123,14 +124,15 @@
             revision_in_force: renewal.revision_in_force,
             ..known.record.clone()
         };
-        self.take_instance(now_ms, record, age_ms)
+        self.update_instance(now_ms, record, age_ms)
     }
 
-    fn take_renewal(&mut self, now_ms: u64, renewal: Renewal, age_ms: u64) -> bool {
+    fn apply_renewal(&mut self, now_ms: u64, renewal: Renewal, age_ms: u64) -> bool {
         let known = self.keys.get(&renewal.key).and_then(|name| self.endpoints.get(name));
         let Some(known) = known.filter(|known| key_of(&known.record) == renewal.key) else {
-            // A renewal of an earlier incarnation names a key that is known.
-            self.lacking |= !self.keys.contains_key(&renewal.key);
+            // The key of an earlier incarnation is still known, so its renewal does not require a
+            // full sync.
+            self.needs_full_sync |= !self.keys.contains_key(&renewal.key);
             return false;
         };
         let record = EndpointRecord {
@@ -138,11 +140,11 @@
             load: renewal.load,
             ..known.record.clone()
         };
-        self.take_endpoint(now_ms, record, age_ms)
+        self.update_endpoint(now_ms, record, age_ms)
     }
 }
 
-fn instance_renewal_of(known: &Known<InstanceRecord>) -> InstanceRenewal {
+fn instance_renewal_of(known: &RegistryEntry<InstanceRecord>) -> InstanceRenewal {
     let record = &known.record;
     InstanceRenewal {
         key: instance_key_of(record),
@@ -151,7 +153,7 @@
     }
 }
 
-fn renewal_of(known: &Known<EndpointRecord>) -> Renewal {
+fn renewal_of(known: &RegistryEntry<EndpointRecord>) -> Renewal {
     let record = &known.record;
     Renewal { key: key_of(record), sequence: record.sequence, load: record.load }
 }
--- a/crates/control/src/state/claims.rs
+++ b/crates/control/src/state/claims.rs
@@ -1,4 +1,4 @@
-//! Claims on idempotency keys: the first claimant may dispatch, all others learn of it.
+//! Claims on idempotency keys: only the first claimant may dispatch the request.
 
 use super::ClaimOutcome;
 use lycheehub_types::{AccountName, InstanceName};
@@ -6,9 +6,9 @@
 use smol_str::SmolStr;
 use std::collections::{BTreeMap, VecDeque};
 
-/// How long a claim is kept after it was made, in milliseconds.
+/// How long a claim is retained after it was made, in milliseconds.
 pub const CLAIM_RETENTION_MS: u64 = 24 * 60 * 60 * 1_000;
-/// The most claims kept at once.
+/// The maximum number of claims.
 pub const CLAIMS_MAX: usize = 500_000;
 
 /// An idempotency key of one client account.
@@ -20,44 +20,44 @@
     pub key: SmolStr,
 }
 
-/// The run of an instance that claimed a key.
+/// The instance and request that claimed a key.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Claimant {
     /// The instance.
     pub instance: InstanceName,
-    /// Its incarnation.
+    /// The instance's incarnation.
     pub incarnation: u64,
     /// The request's number on that instance.
     pub request: u64,
 }
 
-/// How the request under a claim stands.
+/// The state of a claimed request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ClaimState {
-    /// It was claimed, and no end is known.
+    /// The request was claimed, and its outcome is not known yet.
     Open,
-    /// It ran and was answered.
+    /// The request ran and was answered.
     Answered,
-    /// It did not run; the key is free again.
+    /// The request did not run; the key may be claimed again.
     NotRun,
-    /// It may have run.
+    /// The request may have run.
     Unknown,
 }
 
 /// A claim.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Claim {
-    /// Who may dispatch.
+    /// The claimant, which may dispatch the request.
     pub claimant: Claimant,
     /// A digest of the request.
     pub fingerprint: u64,
-    /// How the request stands.
+    /// The state of the request.
     pub state: ClaimState,
     /// When the claim was made, in milliseconds since the Unix epoch.
     pub made_unix_ms: u64,
 }
 
-/// All claims that are kept.
+/// All retained claims.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Claims {
     by_key: BTreeMap<ClaimKey, Claim>,
@@ -70,12 +70,12 @@
         self.by_key.get(key)
     }
 
-    /// Returns how many claims are kept.
+    /// Returns the number of retained claims.
     pub fn len(&self) -> usize {
         self.by_key.len()
     }
 
-    /// Tells whether no claim is kept.
+    /// Tells whether there are no retained claims.
     pub fn is_empty(&self) -> bool {
         self.by_key.is_empty()
     }
@@ -128,7 +128,8 @@
     }
 }
 
-/// A claimant that repeats its claim, since the answer was lost, is granted it again.
+/// Returns the outcome of a claim on a key that is already claimed. A claimant that repeats its own
+/// open claim, because the reply was lost, is granted it again.
 fn outcome_of(claim: &Claim, claimant: &Claimant, fingerprint: u64) -> ClaimOutcome {
     if claim.fingerprint != fingerprint {
         return ClaimOutcome::OtherRequest;
--- a/crates/control/src/state/command.rs
+++ b/crates/control/src/state/command.rs
@@ -7,38 +7,38 @@
 use serde::{Deserialize, Serialize};
 use smol_str::SmolStr;
 
-/// A change of the control state.
+/// A change to the control state.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Command {
     /// An operator's new text for a section.
     Submit(Submission),
-    /// The move controller's next step of a move.
+    /// The next step of a move, decided by the leader's controller.
     StepMove(MoveStep),
     /// Claims an idempotency key.
     Claim {
         /// The key.
         key: ClaimKey,
-        /// Who will dispatch the request.
+        /// The claimant, which dispatches the request if the claim is granted.
         claimant: Claimant,
-        /// A digest of the request, by which a key used for another request is known.
+        /// A digest of the request, which detects a key that is reused for another request.
         fingerprint: u64,
         /// The leader's time, in milliseconds since the Unix epoch.
         now_unix_ms: u64,
     },
-    /// Ends a claim.
+    /// Settles a claim.
     Settle {
         /// The key.
         key: ClaimKey,
-        /// Who claimed it.
+        /// The claimant.
         claimant: Claimant,
-        /// How the request ended.
+        /// The outcome of the request.
         state: ClaimState,
     },
-    /// An operator's new route document, in force if its version is the highest so far.
+    /// An operator's new route document, which takes effect if its version is the highest so far.
     ReplaceDocument(DocumentRecord),
-    /// An operator's order to move a service to a version.
+    /// An operator's order to roll out a version.
     StartRollout(RolloutOrder),
-    /// A step of a rollout, decided by the leader's controller.
+    /// The next step of a rollout, decided by the leader's controller.
     StepRollout(RolloutStep),
 }
 
@@ -47,9 +47,9 @@
 pub struct Submission {
     /// The section.
     pub section: SectionName,
-    /// The section's revision that the text was based on, 0 for a new section.
+    /// The section revision that the text is based on; 0 for a new section.
     pub base_revision: u64,
-    /// The operator's id of this submission, by which a resend is known.
+    /// The operator's id of this submission, which identifies a resend.
     pub request_id: SmolStr,
     /// The operator.
     pub operator: SmolStr,
@@ -62,82 +62,83 @@
 pub struct MoveStep {
     /// The move.
     pub id: SmolStr,
-    /// How many steps the move had taken when this one was decided.
+    /// The number of steps that the move had taken at the time of the decision.
     pub after_step: u64,
     /// The new phase.
     pub phase: Phase,
     /// The share of traffic for the new version, in thousandths.
     pub share_permille: u32,
-    /// Why, with figures.
+    /// The reason for the step, with figures.
     pub reason: SmolStr,
     /// The leader's time, in milliseconds since the Unix epoch.
     pub now_unix_ms: u64,
 }
 
-/// The answer to a [`Command`].
+/// The reply to a [`Command`].
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Reply {
-    /// To [`Command::Submit`].
+    /// The reply to [`Command::Submit`].
     Apply(ApplyOutcome),
-    /// To [`Command::StepMove`] and [`Command::StepRollout`]: whether the step was taken.
+    /// The reply to [`Command::StepMove`] and [`Command::StepRollout`]: whether the step was
+    /// applied.
     Stepped(bool),
-    /// To [`Command::Claim`].
+    /// The reply to [`Command::Claim`].
     Claim(ClaimOutcome),
-    /// To [`Command::Settle`].
+    /// The reply to [`Command::Settle`].
     Settled,
-    /// To [`Command::ReplaceDocument`].
+    /// The reply to [`Command::ReplaceDocument`].
     Document {
-        /// The version that is in force now.
+        /// The version in force now.
         version: u64,
     },
-    /// To [`Command::StartRollout`].
+    /// The reply to [`Command::StartRollout`].
     Rollout,
 }
 
-/// The answer to a submission.
+/// The outcome of a submission.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ApplyOutcome {
-    /// The text is the section's new one.
+    /// The text was accepted.
     Accepted {
         /// The section's new revision.
         revision: u64,
     },
-    /// Another submission came first.
+    /// The section has changed since the revision that the text is based on.
     Conflict {
-        /// The section's revision.
+        /// The section's current revision.
         revision: u64,
-        /// Who made it.
+        /// The operator who made that revision.
         operator: SmolStr,
-        /// The request id that made it.
+        /// The request id of that revision.
         request_id: SmolStr,
     },
-    /// The text or its author is refused.
+    /// The text or its author was rejected.
     Invalid {
-        /// What is wrong.
+        /// The reason.
         message: SmolStr,
     },
 }
 
-/// The answer to a claim.
+/// The outcome of a claim.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ClaimOutcome {
-    /// The claimant may dispatch.
+    /// The claimant may dispatch the request.
     Granted,
-    /// The key was claimed before.
+    /// The key is already claimed.
     Taken {
-        /// By whom.
+        /// The claimant that holds the claim.
         claimant: Claimant,
-        /// How that request stands.
+        /// The state of that request.
         state: ClaimState,
     },
-    /// The key was claimed for another request.
+    /// The key is already claimed for a different request.
     OtherRequest,
-    /// No more claims are taken until old ones end.
+    /// The maximum number of claims is reached; no claim is accepted until old ones end.
     Full,
 }
 
 impl Command {
-    /// Encodes the command for the log.
+    /// Encodes the command for the replicated log.
     ///
     /// # Examples
     /// ```
@@ -153,10 +154,10 @@
         postcard::to_stdvec(self).unwrap_or_default()
     }
 
-    /// Puts the leader's time into a command, in milliseconds since the Unix epoch.
+    /// Sets the leader's time in a command, in milliseconds since the Unix epoch.
     ///
-    /// Claims expire by the time of the instances that lead, not by that of any instance.
-    pub fn stamped(mut self, leader_unix_ms: u64) -> Self {
+    /// Claims expire by the clock of the leader, not by that of the claiming instance.
+    pub fn with_leader_time(mut self, leader_unix_ms: u64) -> Self {
         match &mut self {
             Self::Claim { now_unix_ms, .. } => *now_unix_ms = leader_unix_ms,
             Self::StartRollout(order) => order.now_unix_ms = leader_unix_ms,
@@ -165,7 +166,7 @@
         self
     }
 
-    /// Returns the kind of the command, for logs.
+    /// Returns the kind of the command, for log lines.
     ///
     /// # Examples
     /// ```
@@ -185,10 +186,10 @@
         }
     }
 
-    /// Decodes a command of the log.
+    /// Decodes a command from the replicated log.
     ///
     /// # Errors
-    /// Fails where the bytes are no command of this version.
+    /// Fails if the bytes are not a command of this version.
     pub fn decode(bytes: &[u8]) -> Result<Self, DecodeError> {
         postcard::from_bytes(bytes)
             .map_err(|cause| DecodeError::Malformed("command", cause.to_string().into()))
--- a/crates/control/src/state/feed.rs
+++ b/crates/control/src/state/feed.rs
@@ -1,4 +1,4 @@
-//! What instances without a replica receive of the control state: its changes, without claims.
+//! The change feed for instances without a replica: changes of the control state, without claims.
 
 use super::{DecodeError, DocumentRecord, MoveRecord, RolloutRecord, SectionRecord, State};
 use lycheehub_types::{SectionName, ServiceName, Version};
@@ -6,16 +6,16 @@
 use smol_str::SmolStr;
 use std::collections::BTreeMap;
 
-/// The changes of sections and moves after one revision.
+/// The changes after one revision.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Feed {
-    /// The revision that the changes lead to.
+    /// The revision after the changes.
     pub revision: u64,
     /// The changed sections.
     pub sections: BTreeMap<SectionName, SectionRecord>,
     /// The changed moves.
     pub moves: BTreeMap<SmolStr, MoveRecord>,
-    /// The versions that moves have left services at.
+    /// The versions that services serve after completed moves.
     pub serving: BTreeMap<ServiceName, Version>,
     /// The route document, if it changed.
     pub document: Option<DocumentRecord>,
@@ -24,15 +24,15 @@
 }
 
 impl Feed {
-    /// Encodes the changes.
+    /// Encodes the feed.
     pub fn encode(&self) -> Vec<u8> {
         postcard::to_stdvec(self).unwrap_or_default()
     }
 
-    /// Decodes changes.
+    /// Decodes a feed.
     ///
     /// # Errors
-    /// Fails where the bytes are no changes of this version.
+    /// Fails if the bytes are not a feed of this version.
     pub fn decode(bytes: &[u8]) -> Result<Self, DecodeError> {
         postcard::from_bytes(bytes)
             .map_err(|cause| DecodeError::Malformed("feed", cause.to_string().into()))
@@ -40,7 +40,7 @@
 }
 
 impl State {
-    /// Returns what changed after `revision`.
+    /// Returns the changes after `revision`.
     ///
     /// # Examples
     /// ```
@@ -61,8 +61,9 @@
         }
     }
 
-    /// Takes changes into a state that has no log; older ones than the present are ignored.
-    pub fn take_feed(&mut self, feed: Feed) -> bool {
+    /// Applies a feed to a state that has no log, unless its revision is not newer; tells whether
+    /// it was applied.
+    pub fn apply_feed(&mut self, feed: Feed) -> bool {
         if feed.revision <= self.revision {
             return false;
         }
--- a/crates/control/src/state/mod.rs
+++ b/crates/control/src/state/mod.rs
@@ -1,7 +1,7 @@
 //! The state machine behind the replicated log.
 //!
-//! Applying the same commands in the same order gives the same state on every replica: times come
-//! from the commands, never from a clock.
+//! Applying the same commands in the same order yields the same state on every replica. Times come
+//! from the commands, never from a local clock.
 
 mod claims;
 mod command;
@@ -17,7 +17,7 @@
 pub use feed::Feed;
 pub use moves::{MoveRecord, Phase};
 pub use rollouts::{RolloutOrder, RolloutRecord, RolloutState, RolloutStep};
-pub use sections::{RequestLog, SectionRecord};
+pub use sections::{SectionRecord, SubmissionReplies};
 
 use lycheehub_estate::Estate;
 use lycheehub_types::{SectionName, ServiceName, Version};
@@ -27,10 +27,10 @@
 use std::collections::BTreeMap;
 
 quick_error! {
-    /// Bytes that hold no state or command of this version.
+    /// An error for bytes that are not a state or command of this version.
     #[derive(Clone, Debug, PartialEq, Eq)]
     pub enum DecodeError {
-        /// The bytes do not decode.
+        /// The bytes cannot be decoded.
         Malformed(what: &'static str, cause: SmolStr) {
             display("{} does not decode: {}", what, cause)
         }
@@ -56,29 +56,29 @@
 /// ```
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct State {
-    /// The index of the newest command that changed sections or moves.
+    /// The index of the last command that changed sections, moves, rollouts or the route document.
     pub revision: u64,
     /// The sections by name.
     pub sections: BTreeMap<SectionName, SectionRecord>,
-    /// The first answers to operators' request ids.
-    pub requests: RequestLog,
+    /// The first replies to operators' requests, by request id.
+    pub requests: SubmissionReplies,
     /// The version moves by id.
     pub moves: BTreeMap<SmolStr, MoveRecord>,
-    /// The version that moves have left each service at.
+    /// The version that each service serves after its last completed move.
     pub serving: BTreeMap<ServiceName, Version>,
     /// The claims on idempotency keys.
     pub claims: Claims,
     /// The route document in force.
     pub document: DocumentRecord,
-    /// The newest rollout of each service.
+    /// The latest rollout of each service.
     pub rollouts: BTreeMap<ServiceName, RolloutRecord>,
-    /// The estate that the sections describe.
+    /// The estate described by the sections.
     #[serde(skip)]
     pub estate: Estate,
 }
 
 impl State {
-    /// Applies the command at `index` of the log.
+    /// Applies the command at log index `index`.
     pub fn apply(&mut self, index: u64, command: Command) -> Reply {
         match command {
             Command::Submit(submission) => Reply::Apply(self.submit(index, submission)),
@@ -101,7 +101,7 @@
         }
     }
 
-    /// Returns the version that serves `service` where no move is under way.
+    /// Returns the version that serves `service` outside of moves.
     pub fn serving(&self, service: &ServiceName) -> Option<Version> {
         let named = self.estate.services.get(service).map(|spec| spec.version.clone());
         self.serving.get(service).cloned().or(named)
@@ -112,10 +112,10 @@
         postcard::to_stdvec(self).unwrap_or_default()
     }
 
-    /// Decodes a snapshot; no bytes stand for the empty state.
+    /// Decodes a snapshot; empty bytes decode to the empty state.
     ///
     /// # Errors
-    /// Fails where the bytes are no state of this version.
+    /// Fails if the bytes are not a state of this version.
     pub fn decode(bytes: &[u8]) -> Result<Self, DecodeError> {
         if bytes.is_empty() {
             return Ok(Self::default());
--- a/crates/control/src/state/moves.rs
+++ b/crates/control/src/state/moves.rs
@@ -1,4 +1,4 @@
-//! Version moves as replicated: their specification, phase and share.
+//! The replicated records of version moves: specification, phase and share.
 
 use super::{MoveStep, State};
 use lycheehub_estate::{MoveSpec, MoveState, Section};
@@ -10,26 +10,26 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Phase {
-    /// No endpoint is asked for the new version yet.
+    /// No endpoint has been ordered to load the new version yet.
     Planned,
-    /// Endpoints load the new version.
+    /// Endpoints are loading the new version.
     Loading,
-    /// The new version gets a small, bounded share.
+    /// The new version receives a small, bounded share of traffic.
     Canary,
-    /// The share grows step by step.
+    /// The share of traffic increases step by step.
     Ramp,
-    /// The new version has all traffic; the old one is kept loaded.
+    /// The new version has reached its last share; the old version stays loaded.
     Soak,
     /// The move is done.
     Done,
-    /// The move was taken back; final.
+    /// The move was reverted; final.
     Reverted,
-    /// A later move of the same service took its place; final.
+    /// A later move of the same service replaced this one; final.
     Superseded,
 }
 
 impl Phase {
-    /// Tells whether the move takes no further step.
+    /// Tells whether the phase is final, so that the move takes no further step.
     pub fn is_final(self) -> bool {
         matches!(self, Self::Done | Self::Reverted | Self::Superseded)
     }
@@ -38,7 +38,7 @@
 /// A version move.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct MoveRecord {
-    /// What the operator ordered.
+    /// The operator's specification.
     pub spec: MoveSpec,
     /// The version before the move.
     pub from: Version,
@@ -48,20 +48,20 @@
     pub share_permille: u32,
     /// How many steps the move has taken.
     pub step: u64,
-    /// Why the last step was taken, with figures.
+    /// The reason for the last step, with figures.
     pub reason: SmolStr,
-    /// When the move took its first step, in milliseconds since the Unix epoch, 0 before it.
+    /// When the move took its first step, in milliseconds since the Unix epoch; 0 before that.
     pub begins_unix_ms: u64,
-    /// When the present phase began, in milliseconds since the Unix epoch, 0 before the first step.
+    /// When the current phase began, in milliseconds since the Unix epoch; 0 before the first step.
     pub phase_since_unix_ms: u64,
-    /// When the last step was taken, in milliseconds since the Unix epoch, 0 before the first step.
+    /// When the last step was taken, in milliseconds since the Unix epoch; 0 before the first step.
     pub step_unix_ms: u64,
     /// The index of the last command that changed the record.
     pub changed: u64,
 }
 
 impl State {
-    /// Refuses a section whose moves change what an earlier order of the same id said.
+    /// Rejects a section that reuses the id of an existing move for another service or version.
     pub(super) fn check_moves(&self, section: &Section) -> Result<(), SmolStr> {
         for (id, spec) in &section.moves {
             let Some(known) = self.moves.get(id) else { continue };
@@ -76,7 +76,7 @@
         Ok(())
     }
 
-    /// Brings the move records in line with the estate.
+    /// Updates the move records to match the estate.
     pub(super) fn update_moves(&mut self, index: u64) {
         let ordered = self.estate.moves.clone();
         for (id, (_, spec)) in &ordered {
@@ -128,7 +128,8 @@
         }
     }
 
-    /// Takes a step where no other was taken since it was decided.
+    /// Applies a step, unless another step was taken since the decision; tells whether it was
+    /// applied.
     pub(super) fn step_move(&mut self, index: u64, step: MoveStep) -> bool {
         let Some(record) = self.moves.get_mut(&step.id) else { return false };
         if record.step != step.after_step || record.phase.is_final() {
--- a/crates/control/src/state/rollouts.rs
+++ b/crates/control/src/state/rollouts.rs
@@ -1,75 +1,74 @@
-//! Operators' orders to move a service to a version, and how they stand.
+//! Rollouts: operators' orders to move a service to a version within seconds.
 
 use super::State;
 use lycheehub_types::{ServiceName, Version};
 use serde::{Deserialize, Serialize};
 use smol_str::SmolStr;
 
-/// How many versions that were taken back are remembered for a service: platforms stop their
-/// endpoints some seconds later.
+/// The number of rolled-back versions that are remembered per service. Platforms stop the endpoints
+/// of such versions only some seconds later.
 const BARRED_MAX: usize = 8;
 
-/// An operator's order.
+/// An operator's order to roll out a version.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RolloutOrder {
     /// The service.
     pub service: ServiceName,
-    /// The version that its endpoints are to have.
+    /// The version to roll out.
     pub target: Version,
-    /// How long the rollout may take, in milliseconds.
+    /// The time limit of the rollout, in milliseconds.
     pub duration_ms: u64,
     /// The leader's time, in milliseconds since the Unix epoch.
     pub now_unix_ms: u64,
 }
 
-/// How a rollout stands.
+/// The state of a rollout.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum RolloutState {
-    /// Both versions may get requests.
+    /// Both versions may receive requests.
     Running,
-    /// Only the new version gets requests.
+    /// Only the new version receives requests.
     Completed,
-    /// Only the old version gets requests.
+    /// Only the old version receives requests.
     RolledBack,
 }
 
-/// The newest rollout of a service.
+/// The latest rollout of a service.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RolloutRecord {
-    /// The index of the command that changed it last.
+    /// The index of the last command that changed the record.
     pub revision: u64,
-    /// The order.
+    /// The operator's order.
     pub order: RolloutOrder,
-    /// How it stands.
+    /// The state of the rollout.
     pub state: RolloutState,
     /// The share of requests for the new version while it is running, in thousandths.
     pub share_permille: u32,
     /// When it ended, in milliseconds since the Unix epoch; 0 while it is running.
     pub ended_unix_ms: u64,
-    /// Versions that were taken back before, the last ones; they get nothing unless they are ordered
-    /// again.
+    /// The last rolled-back versions. They receive no requests unless they are ordered again.
     pub barred: Vec<Version>,
 }
 
-/// A step of a rollout, as the leader's controller decides it.
+/// A step of a rollout, decided by the leader's controller.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RolloutStep {
     /// The service.
     pub service: ServiceName,
-    /// The revision of the record that the step was decided by.
+    /// The revision of the record that the decision is based on.
     pub after_revision: u64,
-    /// How the rollout stands from now on.
+    /// The new state of the rollout.
     pub state: RolloutState,
     /// The share of requests for the new version, in thousandths.
     pub share_permille: u32,
-    /// Why, with figures.
+    /// The reason for the step, with figures.
     pub reason: SmolStr,
     /// The leader's time, in milliseconds since the Unix epoch.
     pub now_unix_ms: u64,
 }
 
 impl State {
-    /// Takes an order; one for the version that was ordered last changes nothing.
+    /// Starts a rollout. An order for the current target changes nothing.
     pub(super) fn start_rollout(&mut self, index: u64, order: RolloutOrder) {
         let known = self.rollouts.get(&order.service);
         if known.is_some_and(|record| record.order.target == order.target) {
@@ -94,7 +93,8 @@
         self.rollouts.insert(record.order.service.clone(), record);
     }
 
-    /// Takes a step, unless it was decided by an older record; tells whether it was taken.
+    /// Applies a step, unless the record has changed since the decision; tells whether it was
+    /// applied.
     pub(super) fn step_rollout(&mut self, index: u64, step: &RolloutStep) -> bool {
         let Some(record) = self.rollouts.get_mut(&step.service) else { return false };
         if record.revision != step.after_revision || record.state != RolloutState::Running {
--- a/crates/control/src/state/sections.rs
+++ b/crates/control/src/state/sections.rs
@@ -7,39 +7,39 @@
 use smol_str::{SmolStr, format_smolstr};
 use std::collections::{BTreeMap, VecDeque};
 
-/// How many first answers are kept for resends.
-const REQUESTS_KEPT: usize = 20_000;
+/// The number of first replies that are kept to answer resends.
+const MAX_REPLIES_KEPT: usize = 20_000;
 
-/// A section's newest text.
+/// The current text of a section.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SectionRecord {
     /// The index of the command that set the text.
     pub revision: u64,
-    /// Who set it.
+    /// The operator who set it.
     pub operator: SmolStr,
-    /// The request id that set it.
+    /// The id of the request that set it.
     pub request_id: SmolStr,
     /// The text.
     pub text: String,
-    /// What the text says.
+    /// The parsed text.
     #[serde(skip)]
     pub parsed: Section,
 }
 
-/// The first answers to request ids, oldest dropped first.
+/// The first replies by request id; the oldest are dropped first.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct RequestLog {
+pub struct SubmissionReplies {
     answers: BTreeMap<SmolStr, ApplyOutcome>,
     order: VecDeque<SmolStr>,
 }
 
-impl RequestLog {
-    /// Returns the id under which an operator's request is kept.
+impl SubmissionReplies {
+    /// Returns the id under which the reply to an operator's request is kept.
     pub fn id(operator: &str, request_id: &str) -> SmolStr {
         format_smolstr!("{operator}/{request_id}")
     }
 
-    /// Returns the first answer to the request of this id.
+    /// Returns the first reply to the request with this id.
     pub fn get(&self, id: &str) -> Option<&ApplyOutcome> {
         self.answers.get(id)
     }
@@ -47,7 +47,7 @@
     fn insert(&mut self, request_id: SmolStr, outcome: ApplyOutcome) {
         self.answers.insert(request_id.clone(), outcome);
         self.order.push_back(request_id);
-        while self.order.len() > REQUESTS_KEPT {
+        while self.order.len() > MAX_REPLIES_KEPT {
             let Some(oldest) = self.order.pop_front() else { return };
             self.answers.remove(&oldest);
         }
@@ -56,7 +56,7 @@
 
 impl State {
     pub(super) fn submit(&mut self, index: u64, submission: Submission) -> ApplyOutcome {
-        let id = RequestLog::id(&submission.operator, &submission.request_id);
+        let id = SubmissionReplies::id(&submission.operator, &submission.request_id);
         if let Some(first) = self.requests.get(&id) {
             return first.clone();
         }
@@ -92,10 +92,10 @@
         ApplyOutcome::Accepted { revision: index }
     }
 
-    /// Checks a submission against the present state without changing it.
+    /// Checks a submission against the current state without changing it.
     ///
     /// # Errors
-    /// Tells what is wrong with the text, its author or how it fits the other sections.
+    /// Returns what is wrong with the text, its author or its fit with the other sections.
     pub fn check(&self, submission: &Submission) -> Result<(Section, Estate), SmolStr> {
         let section = &submission.section;
         let parsed = lycheehub_estate::parse(&submission.text)
@@ -122,7 +122,7 @@
         self.sections.iter().map(pair).collect()
     }
 
-    /// Works out again what the texts say, after the texts were replaced.
+    /// Parses all section texts and merges the estate again, after the texts were replaced.
     pub(super) fn rebuild_estate(&mut self) {
         for record in self.sections.values_mut() {
             record.parsed = lycheehub_estate::parse(&record.text).unwrap_or_default();
--- a/crates/control/src/view.rs
+++ b/crates/control/src/view.rs
@@ -1,23 +1,24 @@
-//! What control state shows to the traffic threads: immutable, replaced whole.
+//! The immutable snapshot of control state that the traffic threads read. It is replaced as a
+//! whole.
 
 use crate::state::{Phase, State};
 use lycheehub_estate::Estate;
 use lycheehub_types::{EndpointName, EndpointRecord, InstanceRecord, ServiceName, Tier, Version};
 use std::collections::BTreeMap;
 
-/// How traffic of a service is shared between versions.
+/// How a service's traffic is split between versions.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct VersionShare {
-    /// The version that has the rest of the traffic.
+    /// The version that receives the rest of the traffic.
     pub stable: Version,
-    /// The version that a move brings in, if one is under way.
+    /// The version that an active move introduces, if any.
     pub candidate: Option<Candidate>,
 }
 
-/// A version that a move brings in.
+/// A version that an active move introduces.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Candidate {
-    /// The move.
+    /// The id of the move.
     pub move_id: smol_str::SmolStr,
     /// The version.
     pub version: Version,
@@ -29,37 +30,37 @@
     pub step: u64,
 }
 
-/// An endpoint as the traffic threads see it.
+/// An endpoint as seen by the traffic threads.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct LiveEndpoint {
     /// The endpoint's newest record.
     pub record: EndpointRecord,
     /// When its lease ends, in milliseconds by the local clock.
     pub lease_until_ms: u64,
-    /// The slots that this instance may use.
+    /// The number of slots granted to this instance.
     pub granted_slots: u32,
 }
 
-/// The part of control state that traffic threads work by.
+/// The part of the control state that the traffic threads need.
 #[derive(Clone, Debug, Default)]
 pub struct View {
     /// The revision in force.
     pub revision: u64,
-    /// The sections together.
+    /// The merged sections.
     pub estate: Estate,
-    /// How each service's traffic is shared between versions.
+    /// How each service's traffic is split between versions.
     pub shares: BTreeMap<ServiceName, VersionShare>,
-    /// The endpoints whose lease held when the view was made.
+    /// The endpoints whose lease was valid when the view was built.
     pub endpoints: BTreeMap<EndpointName, LiveEndpoint>,
-    /// The instances, each with whether its lease held when the view was made.
+    /// The instances, each with whether its lease was valid when the view was built.
     pub instances: Vec<(InstanceRecord, bool)>,
-    /// The lowest tier that any live instance admits, for each service that is shed.
+    /// The lowest tier that any live instance admits, for each service with load shedding.
     pub shed_floor: BTreeMap<ServiceName, Tier>,
-    /// The instance may serve: its configuration is known to be recent.
+    /// Whether the instance may serve: its configuration is known to be recent.
     pub ready: bool,
 }
 
-/// Works out how traffic of each service is shared between versions.
+/// Computes how the traffic of each service is split between versions.
 pub fn version_shares(state: &State) -> BTreeMap<ServiceName, VersionShare> {
     let mut shares = BTreeMap::new();
     for service in state.estate.services.keys() {
--- a/crates/control/tests/control/claims.rs
+++ b/crates/control/tests/control/claims.rs
@@ -63,7 +63,9 @@
         fingerprint: 7,
         now_unix_ms: 10 * DAY_MS,
     };
-    let Command::Claim { now_unix_ms, .. } = command.stamped(1_000) else { panic!("no claim") };
+    let Command::Claim { now_unix_ms, .. } = command.with_leader_time(1_000) else {
+        panic!("no claim")
+    };
     assert_eq!(now_unix_ms, 1_000);
 }
 
--- a/crates/control/tests/control/directory.rs
+++ b/crates/control/tests/control/directory.rs
@@ -1,7 +1,9 @@
 //! The directory of endpoints: leases, what is passed on, and what old announcements may not do.
 
 use googletest::prelude::*;
-use lycheehub_control::directory::pace::{ANSWER_CHANGES, Behind, gather_ms, relay_after_ms};
+use lycheehub_control::directory::batching::{
+    Backlog, MAX_CHANGES_PER_REPLY, batch_delay_ms, relay_delay_ms,
+};
 use lycheehub_control::directory::{Directory, Heard, LEASE_MS, Listing, ORPHAN_MS};
 use lycheehub_types::{EndpointKind, EndpointLoad, EndpointRecord, InstanceName};
 use std::collections::BTreeMap;
@@ -31,16 +33,16 @@
 
 /// Passes all that `from` has heard itself on to `to`.
 fn pass_on(now_ms: u64, from: &Directory, name: &InstanceName, to: &mut Directory) {
-    let own = from.own_after(0, usize::MAX);
-    to.take(now_ms, name, Heard { epoch: 1, change: own.up_to }, own.listings);
+    let own = from.local_changes_after(0, usize::MAX);
+    to.apply_direct(now_ms, name, Heard { epoch: 1, change: own.up_to }, own.listings);
 }
 
-fn own_after(directory: &Directory, change: u64) -> Vec<Listing> {
-    directory.own_after(change, usize::MAX).listings
+fn local_changes_after(directory: &Directory, change: u64) -> Vec<Listing> {
+    directory.local_changes_after(change, usize::MAX).listings
 }
 
-fn relays_after(directory: &Directory, change: u64) -> Vec<Listing> {
-    directory.relays_after(change, usize::MAX, u64::MAX, &BTreeMap::new()).listings
+fn relayed_changes_after(directory: &Directory, change: u64) -> Vec<Listing> {
+    directory.relayed_changes_after(change, usize::MAX, u64::MAX, &BTreeMap::new()).listings
 }
 
 #[gtest]
@@ -49,10 +51,10 @@
     expect_that!(directory.announce(0, record("e", 1, 1)), eq(true));
     let told = directory.change();
     expect_that!(directory.announce(1_000, record("e", 1, 2)), eq(false));
-    expect_that!(own_after(&directory, told), is_empty());
+    expect_that!(local_changes_after(&directory, told), is_empty());
     let leaving = EndpointRecord { leaving: true, ..record("e", 1, 3) };
     expect_that!(directory.announce(2_000, leaving), eq(true));
-    expect_that!(own_after(&directory, told).len(), eq(1));
+    expect_that!(local_changes_after(&directory, told).len(), eq(1));
 }
 
 #[gtest]
@@ -83,12 +85,12 @@
     let (mut lost, mut here) = (Directory::default(), Directory::default());
     lost.announce(0, record("e", 1, 1));
     pass_on(0, &lost, &"lost".into(), &mut here);
-    here.note_silent(1_000, &"lost".into());
+    here.mark_unreachable(1_000, &"lost".into());
     expect_that!(here.expire(1_000 + ORPHAN_MS - 1), is_empty());
     expect_that!(here.expire(1_000 + ORPHAN_MS).len(), eq(1));
     // Others may still be in touch with the replica: they are told nothing.
-    expect_that!(own_after(&here, 0), is_empty());
-    expect_that!(relays_after(&here, 0), is_empty());
+    expect_that!(local_changes_after(&here, 0), is_empty());
+    expect_that!(relayed_changes_after(&here, 0), is_empty());
 }
 
 #[gtest]
@@ -96,8 +98,8 @@
     let (mut before, mut here) = (Directory::default(), Directory::default());
     before.announce(0, record("e", 1, 1));
     pass_on(0, &before, &"peer".into(), &mut here);
-    here.note_restarted(1_000, &"peer".into());
-    here.take(1_100, &"peer".into(), Heard { epoch: 2, change: 0 }, vec![]);
+    here.mark_restarted(1_000, &"peer".into());
+    here.apply_direct(1_100, &"peer".into(), Heard { epoch: 2, change: 0 }, vec![]);
     expect_that!(here.expire(1_000 + ORPHAN_MS).len(), eq(1));
 }
 
@@ -144,8 +146,10 @@
     here.withdraw(60, &"e".into());
     pass_on(70, &here, &"here".into(), &mut there);
     expect_that!(live(&there), is_empty());
-    let listing: Vec<Listing> =
-        own_after(&there, 0).into_iter().chain(relays_after(&there, 0)).collect();
+    let listing: Vec<Listing> = local_changes_after(&there, 0)
+        .into_iter()
+        .chain(relayed_changes_after(&there, 0))
+        .collect();
     expect_that!(listing.len(), eq(1));
     expect_that!(listing.iter().all(|listing| listing.withdrawn), eq(true));
 }
@@ -158,11 +162,11 @@
     }
     let (mut told, mut parts) = (0, 0);
     while told < here.change() {
-        let part = here.own_after(told, 3);
+        let part = here.local_changes_after(told, 3);
         expect_that!(part.listings.len(), le(3));
         expect_that!(part.up_to, gt(told));
         told = part.up_to;
-        there.take(0, &"here".into(), Heard { epoch: 1, change: told }, part.listings);
+        there.apply_direct(0, &"here".into(), Heard { epoch: 1, change: told }, part.listings);
         parts += 1;
         if parts == 2 {
             here.announce(10, EndpointRecord { leaving: true, ..record("e0", 1, 2) });
@@ -181,8 +185,8 @@
     directory.announce(0, record("e", 1, 1));
     directory.withdraw(0, &"e".into());
     directory.expire(1_000_000);
-    expect_that!(own_after(&directory, 0), is_empty());
-    expect_that!(directory.own_news(0, 9), none());
+    expect_that!(local_changes_after(&directory, 0), is_empty());
+    expect_that!(directory.pending_local_changes(0, 9), none());
 }
 
 /// What instances that watch a replica cost it, while endpoints come.
@@ -212,18 +216,20 @@
         }
         let mut at_once = 0;
         for (cursor, due_ms) in cursors.iter_mut().zip(&mut due_ms) {
-            let Some((count, since_ms)) = directory.own_news(*cursor, ANSWER_CHANGES) else {
+            let Some((count, since_ms)) =
+                directory.pending_local_changes(*cursor, MAX_CHANGES_PER_REPLY)
+            else {
                 continue;
             };
-            let behind = match *cursor {
-                0 => Behind::AtOnce,
-                _ => Behind::Changes { count, oldest_ms: now_ms - since_ms },
+            let backlog = match *cursor {
+                0 => Backlog::Immediate,
+                _ => Backlog::Changes { count, oldest_ms: now_ms - since_ms },
             };
-            let due = *due_ms.get_or_insert_with(|| now_ms + gather_ms(behind, watchers));
+            let due = *due_ms.get_or_insert_with(|| now_ms + batch_delay_ms(backlog, watchers));
             if due > now_ms {
                 continue;
             }
-            let part = directory.own_after(*cursor, ANSWER_CHANGES);
+            let part = directory.local_changes_after(*cursor, MAX_CHANGES_PER_REPLY);
             let first_new = cursor.saturating_sub(known as u64) as usize;
             let last_new = part.up_to.saturating_sub(known as u64) as usize;
             let waited_ms = came_ms[first_new..last_new].iter().map(|came_ms| now_ms - came_ms);
@@ -242,7 +248,7 @@
 fn hundreds_that_watch_while_endpoints_come_are_told_some_times_a_second() {
     let told = play_watchers(380, 770, 1_000);
     // As many parts as the changes fill, and what gathers in three times 380 ms.
-    let parts = (770 + 1_000) / ANSWER_CHANGES + 1 + 3;
+    let parts = (770 + 1_000) / MAX_CHANGES_PER_REPLY + 1 + 3;
     expect_that!(told.answers, le(380 * parts));
     expect_that!(told.latest_ms, le(400));
 }
@@ -250,7 +256,7 @@
 #[gtest]
 fn hundreds_that_start_at_once_are_told_in_parts() {
     let told = play_watchers(380, 3_000, 0);
-    expect_that!(told.most_at_once, le(380 * ANSWER_CHANGES));
+    expect_that!(told.most_at_once, le(380 * MAX_CHANGES_PER_REPLY));
 }
 
 #[gtest]
@@ -277,21 +283,21 @@
         if is_first {
             self.relayed.remove(name);
         }
-        let own = replica.own_after(if is_first { 0 } else { heard.change }, usize::MAX);
+        let own = replica.local_changes_after(if is_first { 0 } else { heard.change }, usize::MAX);
         let heard = Heard { epoch, change: own.up_to };
         self.heard.insert(name.clone(), heard);
         self.told += own.listings.len();
-        self.directory.take(now_ms, name, heard, own.listings);
+        self.directory.apply_direct(now_ms, name, heard, own.listings);
     }
 
     /// Takes what others told a replica, which it passes on with the answer to the next question.
     fn take_relays(&mut self, now_ms: u64, name: &InstanceName, replica: &Directory) {
         let relayed = self.relayed.get(name).copied().unwrap_or_default();
-        let before_ms = now_ms - relay_after_ms(0);
-        let relays = replica.relays_after(relayed, usize::MAX, before_ms, &self.heard);
+        let before_ms = now_ms - relay_delay_ms(0);
+        let relays = replica.relayed_changes_after(relayed, usize::MAX, before_ms, &self.heard);
         self.relayed.insert(name.clone(), relays.up_to);
         self.told += relays.listings.len();
-        self.directory.take_relayed(now_ms, name, relays.listings);
+        self.directory.apply_relayed(now_ms, name, relays.listings);
     }
 }
 
@@ -387,9 +393,9 @@
     let (name, told) = (replicas[0].0.clone(), &replicas[0].1.directory);
     instance.take_own(100, &name, 1, told);
     instance.take_relays(100, &name, told);
-    expect_that!(instance.directory.watcher_of(&"e3".into()), some(eq(&name)));
+    expect_that!(instance.directory.lease_monitor(&"e3".into()), some(eq(&name)));
     ask_all(&mut instance, 200, &replicas);
-    expect_that!(instance.directory.watcher_of(&"e3".into()), some(eq(&replicas[3].0)));
+    expect_that!(instance.directory.lease_monitor(&"e3".into()), some(eq(&replicas[3].0)));
 }
 
 #[gtest]
@@ -404,7 +410,7 @@
     first.take_own(1_010, &name, 2, &again);
     instance.take_own(1_100, first_name, 1, &first.directory);
     instance.take_relays(1_100, first_name, &first.directory);
-    instance.directory.note_restarted(1_100, &name);
+    instance.directory.mark_restarted(1_100, &name);
     instance.directory.expire(1_100 + ORPHAN_MS);
     // What the replica heard before its restart is over, and what it heard since is there.
     expect_that!(live(&instance.directory).contains(&"e2".to_owned()), eq(true));
--- a/crates/control/tests/control/document.rs
+++ b/crates/control/tests/control/document.rs
@@ -36,7 +36,7 @@
     let restored = State::decode(&state.encode()).unwrap();
     expect_that!(restored.document, eq(&state.document));
     let mut learner = State::default();
-    expect_that!(learner.take_feed(restored.feed_after(0)), eq(true));
+    expect_that!(learner.apply_feed(restored.feed_after(0)), eq(true));
     expect_that!(learner.document, eq(&state.document));
     expect_that!(restored.feed_after(4).document, none());
 }
--- a/crates/control/tests/control/false_alarms.rs
+++ b/crates/control/tests/control/false_alarms.rs
@@ -55,7 +55,7 @@
             let (side, kind) = if is_new { (Side::New, kind) } else { (Side::Old, GOOD) };
             comparison.add(side, &route, draw(&mut rng, kind));
             to_new += u32::from(is_new);
-            if is_new && matches!(comparison.verdict(), Verdict::Bad(_)) {
+            if is_new && matches!(comparison.verdict(), Verdict::Regressed(_)) {
                 return Some(to_new);
             }
         }
--- a/crates/control/tests/control/moves.rs
+++ b/crates/control/tests/control/moves.rs
@@ -2,7 +2,9 @@
 //! directly. `cargo test -p lycheehub-control -- moves --nocapture` prints the table.
 
 use lycheehub_control::State;
-use lycheehub_control::moves::{Controller, Observation, ObservationKey, Observations, Supply};
+use lycheehub_control::moves::{
+    MoveController, Observation, ObservationKey, Observations, SlotsByVersion,
+};
 use lycheehub_control::state::{Command, MoveStep, Phase, Submission};
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
@@ -155,14 +157,14 @@
 
     fn run(mut self, decider: Decider) -> Ended {
         let mut ended = Ended::default();
-        let mut controller = Controller::default();
+        let mut controller = MoveController::default();
         let mut plain = Plain::default();
-        let supply: Supply = ["v1", "v2"].map(|v| (("writer".into(), v.into()), 32)).into();
+        let supply: SlotsByVersion = ["v1", "v2"].map(|v| (("writer".into(), v.into()), 32)).into();
         for second in 0..self.minutes * 60 + 60 {
             let now_unix_ms = BEGIN_UNIX_MS + second * 1_000;
             let seen = self.second(second, &mut ended);
             if decider == Decider::ControllerWithLeaderChanges && second % 90 == 89 {
-                controller = Controller::default();
+                controller = MoveController::default();
             }
             controller.observe(now_unix_ms, &self.state, &seen);
             let steps = match decider {
--- a/crates/control/tests/control/placement.rs
+++ b/crates/control/tests/control/placement.rs
@@ -1,7 +1,7 @@
 //! Orders: fenced, one at a time for each endpoint, within the weight store's rate.
 
 use lycheehub_control::State;
-use lycheehub_control::placement::{Leadership, Order, Placer};
+use lycheehub_control::placement::{Leadership, LoadOrder, PlacementController};
 use lycheehub_control::state::{Command, MoveStep, Phase, Submission};
 use lycheehub_types::{EndpointKind, EndpointLoad, EndpointRecord};
 
@@ -56,12 +56,12 @@
 }
 
 fn tick(
-    placer: &mut Placer,
+    placer: &mut PlacementController,
     now_ms: u64,
     term: u64,
     state: &State,
     live: &[EndpointRecord],
-) -> Vec<Order> {
+) -> Vec<LoadOrder> {
     let live: Vec<&EndpointRecord> = live.iter().collect();
     placer.tick(now_ms, leadership(term, 0), state, &live)
 }
@@ -71,7 +71,7 @@
     let mut state = state();
     let mut live: Vec<EndpointRecord> =
         (0..10).map(|number| endpoint(number, "v1", true)).collect();
-    let mut placer = Placer::default();
+    let mut placer = PlacementController::default();
     let orders = tick(&mut placer, 10_000, 2, &state, &live);
     assert_eq!(orders.len(), 1, "one endpoint for the canary");
     assert!(tick(&mut placer, 11_000, 2, &state, &live).is_empty(), "while it loads");
@@ -93,9 +93,9 @@
     let mut state = state();
     step(&mut state, Phase::Ramp, 750);
     let live = [endpoint(0, "v2", true), endpoint(1, "v1", true)];
-    assert!(tick(&mut Placer::default(), 10_000, 2, &state, &live).is_empty());
+    assert!(tick(&mut PlacementController::default(), 10_000, 2, &state, &live).is_empty());
     step(&mut state, Phase::Done, 1_000);
-    let orders = tick(&mut Placer::default(), 10_000, 2, &state, &live);
+    let orders = tick(&mut PlacementController::default(), 10_000, 2, &state, &live);
     assert_eq!(orders.len(), 1);
     assert_eq!((orders[0].endpoint.as_str(), orders[0].version.as_str()), ("engine-1", "v2"));
 }
@@ -105,7 +105,7 @@
     let mut state = state();
     step(&mut state, Phase::Reverted, 0);
     let live = [endpoint(0, "v2", true), endpoint(1, "v1", true)];
-    let orders = tick(&mut Placer::default(), 10_000, 2, &state, &live);
+    let orders = tick(&mut PlacementController::default(), 10_000, 2, &state, &live);
     assert_eq!((orders[0].endpoint.as_str(), orders[0].version.as_str()), ("engine-0", "v1"));
 }
 
@@ -114,7 +114,7 @@
     let mut state = state();
     step(&mut state, Phase::Ramp, 500);
     let live: Vec<EndpointRecord> = (0..8).map(|number| endpoint(number, "v1", true)).collect();
-    let mut placer = Placer::default();
+    let mut placer = PlacementController::default();
     let mut fences = Vec::new();
     for (now_ms, term) in [(10_000, 2), (10_250, 2), (40_000, 2), (40_250, 3), (40_500, 3)] {
         let orders = tick(&mut placer, now_ms, term, &state, &live);
@@ -128,7 +128,7 @@
 fn a_new_leader_leaves_endpoints_alone_that_ignore_fencing_numbers() {
     let live = [endpoint(0, "v1", false), endpoint(1, "v1", false)];
     let live: Vec<&EndpointRecord> = live.iter().collect();
-    let mut placer = Placer::default();
+    let mut placer = PlacementController::default();
     assert!(placer.tick(52_900, leadership(2, 50_000), &state(), &live).is_empty());
     assert_eq!(placer.tick(53_000, leadership(2, 50_000), &state(), &live).len(), 1);
 }
@@ -138,7 +138,7 @@
     let mut state = state();
     step(&mut state, Phase::Ramp, 750);
     let live: Vec<EndpointRecord> = (0..100).map(|number| endpoint(number, "v1", true)).collect();
-    let mut placer = Placer::default();
+    let mut placer = PlacementController::default();
     let ordered: usize =
         (0..600).map(|tenth| tick(&mut placer, 10_000 + tenth * 100, 2, &state, &live).len()).sum();
     assert!((12..=14).contains(&ordered), "{ordered} loads in a minute");
--- a/crates/control/tests/control/registry.rs
+++ b/crates/control/tests/control/registry.rs
@@ -25,7 +25,7 @@
 #[test]
 fn a_record_that_took_long_holds_no_longer_than_one_that_did_not() {
     let mut registry = Registry::default();
-    registry.take_endpoint(10_000, record(1, 1, false), 3_000);
+    registry.update_endpoint(10_000, record(1, 1, false), 3_000);
     let ends_ms = 7_000 + ENDPOINT_LEASE_MS;
     assert_eq!(registry.live_endpoints(ends_ms - 1).count(), 1);
     assert_eq!(registry.live_endpoints(ends_ms).count(), 0);
@@ -34,31 +34,31 @@
 #[test]
 fn an_old_record_renews_nothing() {
     let mut registry = Registry::default();
-    assert!(registry.take_endpoint(1_000, record(2, 5, false), 0));
-    assert!(!registry.take_endpoint(4_000, record(2, 5, false), 0));
-    assert!(!registry.take_endpoint(4_000, record(2, 4, false), 0));
-    assert!(!registry.take_endpoint(4_000, record(1, 9, false), 0));
+    assert!(registry.update_endpoint(1_000, record(2, 5, false), 0));
+    assert!(!registry.update_endpoint(4_000, record(2, 5, false), 0));
+    assert!(!registry.update_endpoint(4_000, record(2, 4, false), 0));
+    assert!(!registry.update_endpoint(4_000, record(1, 9, false), 0));
     assert_eq!(registry.live_endpoints(1_000 + ENDPOINT_LEASE_MS).count(), 0);
 }
 
 #[test]
 fn leaving_holds_until_the_endpoint_starts_again() {
     let mut registry = Registry::default();
-    registry.take_endpoint(1_000, record(1, 1, true), 0);
-    registry.take_endpoint(1_100, record(1, 2, false), 0);
+    registry.update_endpoint(1_000, record(1, 1, true), 0);
+    registry.update_endpoint(1_100, record(1, 2, false), 0);
     assert!(registry.endpoints().all(|known| known.record.leaving));
-    registry.take_endpoint(1_200, record(2, 1, false), 0);
+    registry.update_endpoint(1_200, record(2, 1, false), 0);
     assert!(registry.endpoints().all(|known| !known.record.leaving));
 }
 
 #[test]
 fn a_delta_holds_only_what_changed() {
     let mut from = Registry::default();
-    from.take_endpoint(1_000, record(1, 1, false), 0);
+    from.update_endpoint(1_000, record(1, 1, false), 0);
     let (delta, cursor) = from.delta_after(1_500, Cursor::default());
     let mut to = Registry::default();
-    assert!(to.take_delta(9_000, delta.clone()));
-    assert!(!to.take_delta(9_001, delta));
+    assert!(to.apply_delta(9_000, delta.clone()));
+    assert!(!to.apply_delta(9_001, delta));
     assert_eq!(to.endpoints().next().map(|known| known.made_ms), Some(8_500));
     assert!(from.delta_after(1_600, cursor).0.endpoints.is_empty());
 }
@@ -66,21 +66,21 @@
 #[test]
 fn a_renewal_carries_only_what_changes_with_each_announcement() {
     let mut from = Registry::default();
-    from.take_endpoint(1_000, record(1, 1, false), 0);
+    from.update_endpoint(1_000, record(1, 1, false), 0);
     let (first, cursor) = from.delta_after(1_000, Cursor::default());
-    from.take_endpoint(2_000, record(1, 2, false), 0);
+    from.update_endpoint(2_000, record(1, 2, false), 0);
     let (second, cursor) = from.delta_after(2_000, cursor);
     assert_eq!((second.endpoints.len(), second.renewals.len()), (0, 1));
     let mut to = Registry::default();
-    to.take_delta(1_000, first);
-    assert!(to.take_delta(2_000, second.clone()));
+    to.apply_delta(1_000, first);
+    assert!(to.apply_delta(2_000, second.clone()));
     assert_eq!(to.live_endpoints(2_000 + ENDPOINT_LEASE_MS - 1).count(), 1);
     // A change of more than that goes as a whole record.
-    from.take_endpoint(3_000, record(1, 3, true), 0);
+    from.update_endpoint(3_000, record(1, 3, true), 0);
     assert_eq!(from.delta_after(3_000, cursor).0.endpoints.len(), 1);
     // Who lacks the record learns that it does.
     let mut new = Registry::default();
-    assert!(!new.take_delta(2_000, second));
-    assert!(new.take_lacking());
-    assert!(!new.take_lacking());
+    assert!(!new.apply_delta(2_000, second));
+    assert!(new.take_needs_full_sync());
+    assert!(!new.take_needs_full_sync());
 }
--- a/crates/control/tests/control/rollouts.rs
+++ b/crates/control/tests/control/rollouts.rs
@@ -2,7 +2,9 @@
 //! until then.
 
 use googletest::prelude::*;
-use lycheehub_control::moves::{Observation, ObservationKey, Observations, Rollouts, Versions};
+use lycheehub_control::moves::{
+    Observation, ObservationKey, Observations, RolloutController, VersionCapacity,
+};
 use lycheehub_control::state::{Command, RolloutOrder, RolloutState, RolloutStep, State};
 use lycheehub_types::{Route, ServiceName};
 use rand::rngs::SmallRng;
@@ -52,7 +54,7 @@
     let mut rng = SmallRng::seed_from_u64(seed);
     let mut state = State::default();
     state.apply(1, Command::StartRollout(order()));
-    let mut rollouts = Rollouts::default();
+    let mut rollouts = RolloutController::default();
     let (mut index, mut all, mut new) = (1, 0.0, 0.0);
     let writer: ServiceName = "writer".into();
     let mut ended_ms = DURATION_MS;
@@ -81,7 +83,7 @@
         rollouts.observe(&state, &seen);
         let new_slots = if at_ms < 1_500 { 0 } else { 9 };
         let old_running = if record.share_permille == 1_000 { 0 } else { 100 };
-        let versions = |_: &_| Versions { new_slots, old_running };
+        let versions = |_: &_| VersionCapacity { new_slots, old_running };
         let now_unix_ms = BEGIN_UNIX_MS + at_ms;
         for step in rollouts.tick(now_unix_ms, &state, versions) {
             index += 1;
@@ -129,8 +131,8 @@
 fn a_version_without_endpoints_is_taken_back_at_its_time() {
     let mut state = State::default();
     state.apply(1, Command::StartRollout(order()));
-    let mut rollouts = Rollouts::default();
-    let none = |_: &_| Versions::default();
+    let mut rollouts = RolloutController::default();
+    let none = |_: &_| VersionCapacity::default();
     expect_that!(rollouts.tick(BEGIN_UNIX_MS + 6_000, &state, none), is_empty());
     let steps = rollouts.tick(BEGIN_UNIX_MS + DURATION_MS, &state, none);
     expect_that!(steps.len(), eq(1));
--- a/crates/control/tests/control/state.rs
+++ b/crates/control/tests/control/state.rs
@@ -93,12 +93,12 @@
     let mut state = State::default();
     submit(&mut state, 5, 0, "ana", &(BASE.to_owned() + &order("m1", "v2", "run")));
     let mut learned = State::default();
-    assert!(learned.take_feed(state.feed_after(0)));
+    assert!(learned.apply_feed(state.feed_after(0)));
     step(&mut state, 8, 0, Phase::Canary, 20);
     let feed = state.feed_after(learned.revision);
     assert!(feed.sections.is_empty());
-    assert!(learned.take_feed(feed));
+    assert!(learned.apply_feed(feed));
     assert_eq!((&learned.moves, &learned.estate), (&state.moves, &state.estate));
     // An older feed changes nothing.
-    assert!(!learned.take_feed(state.feed_after(0)));
+    assert!(!learned.apply_feed(state.feed_after(0)));
 }
--- a/crates/gateway/src/operators/lists.rs
+++ b/crates/gateway/src/operators/lists.rs
@@ -87,7 +87,7 @@
         .moves
         .iter()
         .map(|(id, record)| {
-            let in_time = lycheehub_control::moves::is_in_time(now_unix_ms, record);
+            let in_time = lycheehub_control::moves::is_on_schedule(now_unix_ms, record);
             (id, Move { record, in_time })
         })
         .collect();
--- a/crates/gateway/src/orders.rs
+++ b/crates/gateway/src/orders.rs
@@ -2,7 +2,7 @@
 
 use http_types::{Body, Method, Request, Url};
 use lycheehub_clock::{Clock, within};
-use lycheehub_control::placement::{Fence, Order};
+use lycheehub_control::placement::{FencingToken, LoadOrder};
 use lycheehub_peer::OrderSink;
 use lycheehub_types::PeerError;
 use serde::Serialize;
@@ -15,7 +15,7 @@
     order: &'static str,
     service: &'a str,
     version: &'a str,
-    fence: Fence,
+    fence: FencingToken,
 }
 
 /// Sends orders from the traffic threads.
@@ -33,7 +33,7 @@
 }
 
 impl OrderSink for OrderSender {
-    fn send(&self, order: Order) {
+    fn send(&self, order: LoadOrder) {
         let clock = self.clock;
         let task = async move {
             let left_ms = order.valid_until_ms.saturating_sub(clock.now_ms());
@@ -47,7 +47,7 @@
     }
 }
 
-async fn deliver(clock: Clock, order: &Order) -> Result<(), PeerError> {
+async fn deliver(clock: Clock, order: &LoadOrder) -> Result<(), PeerError> {
     let address = order.address.as_str();
     let fail = |cause: String| PeerError::failed("order", address, cause);
     let url =
--- a/crates/peer/src/control.rs
+++ b/crates/peer/src/control.rs
@@ -1,6 +1,6 @@
 //! The handle by which traffic threads reach the control thread.
 
-use lycheehub_control::placement::Order;
+use lycheehub_control::placement::LoadOrder;
 use lycheehub_control::state::{Command, DocumentRecord, MoveRecord, RolloutRecord, SectionRecord};
 use lycheehub_route::Demands;
 use lycheehub_types::{
@@ -20,7 +20,7 @@
 /// Where orders to endpoints are sent from.
 pub trait OrderSink: Send + Sync {
     /// Sends an order while it is valid; whether it was taken shows in later announcements.
-    fn send(&self, order: Order);
+    fn send(&self, order: LoadOrder);
 }
 
 /// What is committed, as confirmed by a quorum.
--- a/crates/peer/src/entry/mod.rs
+++ b/crates/peer/src/entry/mod.rs
@@ -238,7 +238,7 @@
     fn take_feed(&self, feed: Feed, from: &InstanceName) {
         let (taken, revision, version) = {
             let mut known = self.known.borrow_mut();
-            let taken = known.state.take_feed(feed);
+            let taken = known.state.apply_feed(feed);
             (taken, known.state.revision, known.state.document.document.version)
         };
         if taken {
@@ -317,10 +317,10 @@
             let mut known = node.known.borrow_mut();
             let mut changed = known.heard.insert(from.clone());
             if news.restarted {
-                known.directory.note_restarted(now_ms, from);
+                known.directory.mark_restarted(now_ms, from);
             }
-            changed |= known.directory.take(now_ms, from, news.heard, news.listings);
-            changed |= known.directory.take_relayed(now_ms, from, news.relays);
+            changed |= known.directory.apply_direct(now_ms, from, news.heard, news.listings);
+            changed |= known.directory.apply_relayed(now_ms, from, news.relays);
             if news.leader.is_some() && known.leader != news.leader {
                 known.leader = news.leader;
                 changed = true;
@@ -347,6 +347,6 @@
     fn silent(&self, peer: &InstanceName) {
         let mut known = self.0.known.borrow_mut();
         known.heard.remove(peer);
-        known.directory.note_silent(self.0.clock.now_ms(), peer);
+        known.directory.mark_unreachable(self.0.clock.now_ms(), peer);
     }
 }
--- a/crates/peer/src/node/census.rs
+++ b/crates/peer/src/node/census.rs
@@ -57,7 +57,7 @@
         let own = &self.settings.instance;
         let endpoints = core.directory.live().map(|record| SeenEndpoint {
             record: record.clone(),
-            heard_by: core.directory.watcher_of(&record.endpoint).unwrap_or(own).clone(),
+            heard_by: core.directory.lease_monitor(&record.endpoint).unwrap_or(own).clone(),
         });
         let polls = self.polls.borrow();
         let instances = replicas(&core, now_ms).chain(polls.seen(now_ms));
--- a/crates/peer/src/node/directory.rs
+++ b/crates/peer/src/node/directory.rs
@@ -3,7 +3,7 @@
 use super::{Core, Node};
 use crate::tally::Tally;
 use crate::watch::{self, HeardFrom, News, REVISION_BY_LOG, Watcher};
-use lycheehub_control::directory::pace::{self, Behind};
+use lycheehub_control::directory::batching::{self, Backlog};
 use lycheehub_control::directory::{Changes, Heard, LEASE_MS, Listing};
 use lycheehub_types::{EndpointName, EndpointRecord, InstanceName};
 use smol::Timer;
@@ -68,7 +68,7 @@
         let now_ms = self.clock.now_ms();
         let (is_known, changed) = {
             let directory = &mut self.core.borrow_mut().directory;
-            (directory.knows(endpoint), directory.withdraw(now_ms, endpoint))
+            (directory.contains(endpoint), directory.withdraw(now_ms, endpoint))
         };
         if changed {
             spdlog::info!("endpoint withdrawn", kv: { endpoint: = endpoint });
@@ -135,7 +135,7 @@
         let core = self.core.borrow();
         let epoch = core.own.incarnation;
         let known = if epoch == told.here.epoch { told.here.change } else { 0 };
-        let own = core.directory.own_after(known, pace::ANSWER_CHANGES);
+        let own = core.directory.local_changes_after(known, batching::MAX_CHANGES_PER_REPLY);
         Watched {
             here: Heard { epoch, change: own.up_to },
             listings: own.listings,
@@ -149,10 +149,10 @@
 
     /// Waits until there is news, and until more has come together.
     async fn gather_news(&self, told: &Told, wait_ms: u64) {
-        if self.behind(told) == Behind::Nothing {
+        if self.behind(told) == Backlog::Empty {
             self.wait_for_news(wait_ms).await;
         }
-        let gather_ms = pace::gather_ms(self.behind(told), self.watchers.get());
+        let gather_ms = batching::batch_delay_ms(self.behind(told), self.watchers.get());
         if gather_ms > 0 {
             Timer::after(Duration::from_millis(gather_ms)).await;
         }
@@ -165,26 +165,34 @@
             // It has just begun to ask, others as well.
             return Changes::default();
         }
-        let kept_ms = pace::relay_after_ms(self.watchers.get());
+        let kept_ms = batching::relay_delay_ms(self.watchers.get());
         let before_ms = self.clock.now_ms().saturating_sub(kept_ms);
-        core.directory.relays_after(told.relayed, pace::ANSWER_CHANGES, before_ms, &told.heard)
+        core.directory.relayed_changes_after(
+            told.relayed,
+            batching::MAX_CHANGES_PER_REPLY,
+            before_ms,
+            &told.heard,
+        )
     }
 
     /// Tells what one that watches does not know yet.
-    fn behind(&self, told: &Told) -> Behind {
+    fn behind(&self, told: &Told) -> Backlog {
         let core = self.core.borrow();
         let now_ms = self.clock.now_ms();
         let leader = self.recent_leader(&core);
         let is_other_leader = leader.is_some() && leader != told.leader;
         let is_first = core.own.incarnation != told.here.epoch;
         if is_first || is_other_leader || core.recent_revision(now_ms) > told.revision {
-            return Behind::AtOnce;
+            return Backlog::Immediate;
         }
-        match core.directory.own_news(told.here.change, pace::ANSWER_CHANGES) {
+        match core
+            .directory
+            .pending_local_changes(told.here.change, batching::MAX_CHANGES_PER_REPLY)
+        {
             Some((count, since_ms)) => {
-                Behind::Changes { count, oldest_ms: now_ms.saturating_sub(since_ms) }
+                Backlog::Changes { count, oldest_ms: now_ms.saturating_sub(since_ms) }
             }
-            None => Behind::Nothing,
+            None => Backlog::Empty,
         }
     }
 
@@ -253,11 +261,11 @@
         let changed = {
             let mut core = self.core.borrow_mut();
             if news.restarted {
-                core.directory.note_restarted(now_ms, from);
+                core.directory.mark_restarted(now_ms, from);
             }
             let directory = &mut core.directory;
-            directory.take(now_ms, from, news.heard, news.listings)
-                | directory.take_relayed(now_ms, from, news.relays)
+            directory.apply_direct(now_ms, from, news.heard, news.listings)
+                | directory.apply_relayed(now_ms, from, news.relays)
         };
         if changed {
             // Those that watch this replica are told by the one that heard it, or as they ask again.
@@ -267,6 +275,6 @@
 
     fn silent(&self, peer: &InstanceName) {
         let now_ms = self.clock.now_ms();
-        self.core.borrow_mut().directory.note_silent(now_ms, peer);
+        self.core.borrow_mut().directory.mark_unreachable(now_ms, peer);
     }
 }
--- a/crates/peer/src/node/follow.rs
+++ b/crates/peer/src/node/follow.rs
@@ -48,7 +48,7 @@
     pub(super) fn take_feed(&self, feed: Feed) {
         let news = {
             let mut core = self.core.borrow_mut();
-            core.driver.is_none() && core.state.take_feed(feed)
+            core.driver.is_none() && core.state.apply_feed(feed)
         };
         if news {
             self.note_revision();
--- a/crates/peer/src/node/gossip.rs
+++ b/crates/peer/src/node/gossip.rs
@@ -35,7 +35,7 @@
             core.own.sequence += 1;
             core.own.revision_in_force = self.views.latest().revision;
             core.own.shed_floor = core.demands.shed_floor.clone();
-            core.registry.take_instance(now_ms, core.own.clone(), 0);
+            core.registry.update_instance(now_ms, core.own.clone(), 0);
             core.dirty = true;
             self.draw_targets(core.seed ^ core.own.sequence, fanout, &core.registry)
         };
@@ -67,7 +67,7 @@
         let own = self.settings.instance.clone();
         let started = {
             let mut core = self.core.borrow_mut();
-            core.registry.take_lacking() || !core.heard
+            core.registry.take_needs_full_sync() || !core.heard
         };
         let call = |peer: peer::Client| async move {
             let mut request = peer.gossip_request();
@@ -113,7 +113,7 @@
 
     fn take_delta(&self, delta: Delta) {
         let mut core = self.core.borrow_mut();
-        let news = core.registry.take_delta(self.clock.now_ms(), delta);
+        let news = core.registry.apply_delta(self.clock.now_ms(), delta);
         core.dirty |= news;
     }
 }
--- a/crates/peer/src/node/membership.rs
+++ b/crates/peer/src/node/membership.rs
@@ -11,7 +11,7 @@
         let now_ms = self.clock.now_ms();
         let live: BTreeMap<ReplicaId, InstanceName> = {
             let mut core = self.core.borrow_mut();
-            core.registry.forget_old(now_ms);
+            core.registry.remove_expired(now_ms);
             let live = core.registry.live_instances(now_ms);
             live.filter(|known| known.record.replica_id != 0)
                 .map(|known| (ReplicaId(known.record.replica_id), known.record.instance.clone()))
--- a/crates/peer/src/node/mod.rs
+++ b/crates/peer/src/node/mod.rs
@@ -27,10 +27,10 @@
 use lycheehub_consensus::Replica;
 use lycheehub_consensus::storage::{Disk, Error as StorageError};
 use lycheehub_control::directory::Directory;
-use lycheehub_control::moves::Controller;
-use lycheehub_control::placement::Placer;
+use lycheehub_control::moves::MoveController;
+use lycheehub_control::placement::PlacementController;
 use lycheehub_control::registry::{Cursor, Registry};
-use lycheehub_control::slots::SlotBook;
+use lycheehub_control::slots::SlotAllocator;
 use lycheehub_control::{State, View};
 use lycheehub_route::Demands;
 use lycheehub_types::{EndpointName, InstanceName, InstanceRecord};
@@ -114,9 +114,9 @@
     leader_hint: Option<InstanceName>,
     demands: Demands,
     grants: BTreeMap<EndpointName, (u32, u64)>,
-    slot_book: SlotBook,
-    controller: Controller,
-    placer: Placer,
+    slot_book: SlotAllocator,
+    controller: MoveController,
+    placer: PlacementController,
     /// When this instance began to lead, in milliseconds.
     leading_since_ms: Option<u64>,
     proposals: Vec<(Vec<u8>, Sender<ProposeReply>)>,
@@ -177,9 +177,9 @@
             leader_hint: None,
             demands: Demands::default(),
             grants: BTreeMap::new(),
-            slot_book: SlotBook::default(),
-            controller: Controller::default(),
-            placer: Placer::default(),
+            slot_book: SlotAllocator::default(),
+            controller: MoveController::default(),
+            placer: PlacementController::default(),
             leading_since_ms: None,
             proposals: Vec::new(),
             dirty: true,
--- a/crates/peer/src/node/placing.rs
+++ b/crates/peer/src/node/placing.rs
@@ -2,7 +2,7 @@
 
 use super::Node;
 use crate::rollouts::{Sight, version_rules};
-use lycheehub_control::moves::Rollouts;
+use lycheehub_control::moves::RolloutController;
 use lycheehub_dispatch::{Decision, Dispatcher, Finished, InFlight, Job, Ticket, Usage};
 use lycheehub_types::{AccountName, InstanceName};
 use smol::channel::{Sender, bounded};
@@ -42,7 +42,7 @@
     last_connection: u64,
     load_noted_ms: u64,
     /// Compares the versions of services that are rolled out.
-    pub(super) rollouts: Rollouts,
+    pub(super) rollouts: RolloutController,
     /// The revision of the route document that the dispatcher has.
     document_revision: u64,
 }
@@ -140,7 +140,7 @@
             numbers: BTreeMap::new(),
             last_connection: 0,
             load_noted_ms: 0,
-            rollouts: Rollouts::default(),
+            rollouts: RolloutController::default(),
             document_revision: 0,
         });
         spdlog::info!("placing begins with leadership");
--- a/crates/peer/src/node/propose.rs
+++ b/crates/peer/src/node/propose.rs
@@ -91,7 +91,7 @@
         if !self.has_copies_for(&command) {
             return ProposeReply::NotLeader;
         }
-        let command = command.stamped(self.clock.now_unix_ms()).encode();
+        let command = command.with_leader_time(self.clock.now_unix_ms()).encode();
         let (sender, receiver) = bounded(1);
         self.core.borrow_mut().proposals.push((command, sender));
         self.flush_soon();
--- a/crates/peer/src/node/report.rs
+++ b/crates/peer/src/node/report.rs
@@ -3,9 +3,9 @@
 use super::calls::CALL_TIMEOUT_MS;
 use super::{Core, Node};
 use lycheehub_control::Command;
-use lycheehub_control::moves::Supply;
-use lycheehub_control::placement::{Leadership, Order};
-use lycheehub_control::slots::{GRANT_LEASE_MS, digest_of};
+use lycheehub_control::moves::SlotsByVersion;
+use lycheehub_control::placement::{Leadership, LoadOrder};
+use lycheehub_control::slots::{GRANT_LEASE_MS, grants_digest};
 use lycheehub_types::{EndpointName, EndpointRecord, InstanceName};
 use lycheehub_wire::peer_capnp::peer;
 use lycheehub_wire::{Report, ReportReply};
@@ -33,7 +33,7 @@
             Report {
                 instance: self.settings.instance.clone(),
                 demands: wanted.map(|(name, demand)| (name.clone(), *demand)).collect(),
-                grants_digest: digest_of(
+                grants_digest: grants_digest(
                     core.grants.iter().map(|(name, (slots, _))| (name, *slots)),
                 ),
                 observations: std::mem::take(&mut core.demands.observations),
@@ -120,8 +120,8 @@
         let settled =
             core.leading_since_ms.is_some_and(|since_ms| now_ms >= since_ms + GRANT_LEASE_MS);
         let grants = if settled { grants(core, now_ms, &report) } else { BTreeMap::new() };
-        let same =
-            digest_of(grants.iter().map(|(name, slots)| (name, *slots))) == report.grants_digest;
+        let same = grants_digest(grants.iter().map(|(name, slots)| (name, *slots)))
+            == report.grants_digest;
         let grants = if same { BTreeMap::new() } else { grants };
         ReportReply { taken: true, grants, same }
     }
@@ -184,7 +184,7 @@
 }
 
 /// Decides the orders that are due, while this instance holds the lease.
-fn orders(core: &mut Core, now_ms: u64) -> Vec<Order> {
+fn orders(core: &mut Core, now_ms: u64) -> Vec<LoadOrder> {
     let Some(replica) = core.driver.as_ref().map(|driver| &driver.replica) else {
         return Vec::new();
     };
@@ -203,8 +203,8 @@
 }
 
 /// Sums up the slots of live endpoints by service and version.
-fn supply(core: &Core, now_ms: u64) -> Supply {
-    let mut supply = Supply::new();
+fn supply(core: &Core, now_ms: u64) -> SlotsByVersion {
+    let mut supply = SlotsByVersion::new();
     for known in core.registry.live_endpoints(now_ms).filter(|known| !known.record.leaving) {
         let key = (known.record.service.clone(), known.record.version.clone());
         *supply.entry(key).or_default() += known.record.slots;
--- a/crates/peer/src/node/requests.rs
+++ b/crates/peer/src/node/requests.rs
@@ -62,7 +62,7 @@
             let before = core.registry.endpoint(&record.endpoint);
             let known = before.is_some_and(|known| known.record.leaving);
             let leaves = record.leaving && !known;
-            let news = core.registry.take_endpoint(self.clock.now_ms(), record, 0);
+            let news = core.registry.update_endpoint(self.clock.now_ms(), record, 0);
             core.dirty |= news;
             leaves
         };
--- a/crates/peer/src/node/rollouts.rs
+++ b/crates/peer/src/node/rollouts.rs
@@ -3,7 +3,7 @@
 use super::{Core, Node};
 use crate::rollouts::observations;
 use lycheehub_control::Command;
-use lycheehub_control::moves::Versions;
+use lycheehub_control::moves::VersionCapacity;
 use lycheehub_control::state::{RolloutRecord, RolloutStep};
 use lycheehub_dispatch::Dispatcher;
 use std::rc::Rc;
@@ -48,12 +48,12 @@
 }
 
 /// Returns what there is of the two versions of a service.
-fn versions(core: &Core, dispatcher: &Dispatcher, record: &RolloutRecord) -> Versions {
+fn versions(core: &Core, dispatcher: &Dispatcher, record: &RolloutRecord) -> VersionCapacity {
     let order = &record.order;
     let new = core.directory.live().filter(|endpoint| {
         endpoint.service == order.service && endpoint.version == order.target && !endpoint.leaving
     });
-    Versions {
+    VersionCapacity {
         new_slots: new.map(|endpoint| endpoint.slots).sum(),
         old_running: dispatcher.running_at(&order.service, |version| *version != order.target),
     }
--- a/crates/route/src/versions.rs
+++ b/crates/route/src/versions.rs
@@ -113,7 +113,7 @@
         if self.tripped.is_some() {
             return None;
         }
-        let Verdict::Bad(reason) = self.comparison.verdict() else { return None };
+        let Verdict::Regressed(reason) = self.comparison.verdict() else { return None };
         self.tripped = Some(reason.clone());
         Some((move_id, reason))
     }
