--- a/crates/control/src/directory/mod.rs
+++ b/crates/control/src/directory/mod.rs
@@ -95,12 +95,12 @@
         if listing.record.freshness() >= record.freshness() {
             return false;
         }
-        let same = listing.record.incarnation == record.incarnation;
-        if same && listing.withdrawn {
+        let same_incarnation = listing.record.incarnation == record.incarnation;
+        if same_incarnation && listing.withdrawn {
             return false;
         }
         let mut record = record;
-        record.leaving |= same && listing.record.leaving;
+        record.leaving |= same_incarnation && listing.record.leaving;
         let renewed = EndpointRecord {
             sequence: record.sequence,
             load: record.load,
@@ -192,13 +192,13 @@
             return self.insert(now_ms, listing, monitor, source.clone());
         };
         let (old, new) = (known.listing.record.freshness(), listing.record.freshness());
-        let same = old.0 == new.0;
-        listing.withdrawn |= same && known.listing.withdrawn;
+        let same_incarnation = old.0 == new.0;
+        listing.withdrawn |= same_incarnation && known.listing.withdrawn;
         listing.gone |= listing.withdrawn;
-        listing.record.leaving |= same && known.listing.record.leaving;
+        listing.record.leaving |= same_incarnation && known.listing.record.leaving;
         // At equal freshness, a listing that is gone takes precedence.
         let newer = new > old || (new == old && listing.gone && !known.listing.gone);
-        let withdrawn_later = same && listing.withdrawn && !known.listing.withdrawn;
+        let withdrawn_later = same_incarnation && listing.withdrawn && !known.listing.withdrawn;
         if !newer && !withdrawn_later {
             if old == new && known.source == Source::Relayed {
                 // A replica that received the announcement directly replaces one that relayed it;
--- a/crates/control/src/moves/plan.rs
+++ b/crates/control/src/moves/plan.rs
@@ -70,10 +70,11 @@
 
 /// Tells whether a move met its deadline, or can still meet it with the minimum time between steps.
 pub fn is_on_schedule(now_unix_ms: u64, record: &MoveRecord) -> bool {
-    let left = SHARES_PERMILLE.iter().filter(|share| **share > record.share_permille).count();
+    let remaining_steps =
+        SHARES_PERMILLE.iter().filter(|share| **share > record.share_permille).count();
     match record.phase {
         Phase::Done => record.step_unix_ms <= record.spec.by_unix_ms,
         Phase::Reverted | Phase::Superseded => false,
-        _ => now_unix_ms + left as u64 * MIN_STEP_INTERVAL_MS <= record.spec.by_unix_ms,
+        _ => now_unix_ms + remaining_steps as u64 * MIN_STEP_INTERVAL_MS <= record.spec.by_unix_ms,
     }
 }
--- a/crates/control/src/registry/mod.rs
+++ b/crates/control/src/registry/mod.rs
@@ -64,8 +64,8 @@
 }
 
 impl Registry {
-    /// Stores an endpoint's record that is `age_ms` old, unless a newer one is known; tells whether
-    /// it was stored.
+    /// Stores an endpoint's record that is `age_ms` old if it is newer than the known one; tells
+    /// whether it was stored.
     pub fn update_endpoint(
         &mut self,
         now_ms: u64,
@@ -76,8 +76,8 @@
             if known.record.freshness() >= record.freshness() {
                 return false;
             }
-            let same = known.record.incarnation == record.incarnation;
-            record.leaving |= same && known.record.leaving;
+            let same_incarnation = known.record.incarnation == record.incarnation;
+            record.leaving |= same_incarnation && known.record.leaving;
         }
         self.changes += 1;
         let full_change = match self.endpoints.get(&record.endpoint) {
@@ -91,8 +91,8 @@
         true
     }
 
-    /// Stores an instance's record that is `age_ms` old, unless a newer one is known; tells whether
-    /// it was stored.
+    /// Stores an instance's record that is `age_ms` old if it is newer than the known one; tells
+    /// whether it was stored.
     pub fn update_instance(&mut self, now_ms: u64, record: InstanceRecord, age_ms: u64) -> bool {
         let known = self.instances.get(&record.instance);
         if known.is_some_and(|known| known.record.freshness() >= record.freshness()) {
@@ -114,10 +114,10 @@
         &self,
         now_ms: u64,
     ) -> impl Iterator<Item = &RegistryEntry<EndpointRecord>> {
-        let live = move |known: &&RegistryEntry<EndpointRecord>| {
+        let is_live = move |known: &&RegistryEntry<EndpointRecord>| {
             now_ms < known.made_ms + ENDPOINT_LEASE_MS
         };
-        self.endpoints.values().filter(live)
+        self.endpoints.values().filter(is_live)
     }
 
     /// Returns all endpoints, including those with an expired lease.
--- a/crates/control/src/state/claims.rs
+++ b/crates/control/src/state/claims.rs
@@ -119,9 +119,9 @@
                 return;
             }
             let Some((made_unix_ms, key)) = self.order.pop_front() else { return };
-            let same =
+            let is_expired_claim =
                 self.by_key.get(&key).is_some_and(|claim| claim.made_unix_ms == made_unix_ms);
-            if same {
+            if is_expired_claim {
                 self.by_key.remove(&key);
             }
         }
--- a/crates/control/src/state/rollouts.rs
+++ b/crates/control/src/state/rollouts.rs
@@ -79,8 +79,8 @@
             barred.push(record.order.target.clone());
         }
         barred.retain(|version| *version != order.target);
-        let old = barred.len().saturating_sub(BARRED_MAX);
-        barred.drain(..old);
+        let excess = barred.len().saturating_sub(BARRED_MAX);
+        barred.drain(..excess);
         self.revision = index;
         let record = RolloutRecord {
             revision: index,
--- a/crates/control/tests/control/claims.rs
+++ b/crates/control/tests/control/claims.rs
@@ -1,4 +1,4 @@
-//! The first claim on a key wins, for as long as claims are kept.
+//! The first claim on a key wins for as long as the claim is retained.
 
 use lycheehub_control::state::{
     ClaimKey, ClaimOutcome, ClaimState, Claimant, Command, Reply, State,
@@ -29,7 +29,7 @@
 fn only_the_first_claimant_may_dispatch() {
     let mut state = State::default();
     assert_eq!(claim(&mut state, 1, 7, 0), ClaimOutcome::Granted);
-    // The same claim again, since its answer was lost, is granted again.
+    // A repeated claim after a lost reply is granted again.
     assert_eq!(claim(&mut state, 1, 7, 1), ClaimOutcome::Granted);
     let taken = ClaimOutcome::Taken { claimant: claimant(1), state: ClaimState::Open };
     assert_eq!(claim(&mut state, 2, 7, 2), taken);
@@ -37,7 +37,7 @@
 }
 
 #[test]
-fn a_settled_claim_is_not_granted_again() {
+fn settled_claim_is_not_granted_again() {
     let mut state = State::default();
     claim(&mut state, 1, 7, 0);
     settle(&mut state, 1, ClaimState::Answered);
@@ -46,7 +46,7 @@
 }
 
 #[test]
-fn a_key_whose_request_did_not_run_is_free_again() {
+fn key_is_free_again_if_the_request_did_not_run() {
     let mut state = State::default();
     claim(&mut state, 1, 7, 0);
     settle(&mut state, 9, ClaimState::NotRun);
@@ -56,7 +56,7 @@
 }
 
 #[test]
-fn a_claim_has_the_leaders_time_not_the_claimants() {
+fn claim_carries_the_leaders_time() {
     let command = Command::Claim {
         key: key(),
         claimant: claimant(1),
@@ -70,7 +70,7 @@
 }
 
 #[test]
-fn claims_are_kept_for_a_day() {
+fn claims_are_retained_for_a_day() {
     let mut state = State::default();
     claim(&mut state, 1, 7, 1_000);
     assert!(matches!(claim(&mut state, 2, 7, 1_000 + DAY_MS - 1), ClaimOutcome::Taken { .. }));
--- a/crates/control/tests/control/decode.rs
+++ b/crates/control/tests/control/decode.rs
@@ -1,4 +1,4 @@
-//! Bytes from a peer or a disk never make a decoder panic.
+//! Decoding arbitrary bytes from a peer or a disk never panics.
 
 use crate::fixtures::config;
 use lycheehub_control::State;
@@ -10,8 +10,8 @@
     #![proptest_config(config(20_000))]
 
     #[test]
-    fn any_bytes_are_decoded_or_refused(bytes in vec(any::<u8>(), 0..200)) {
-        // Whether they decode does not matter here.
+    fn arbitrary_bytes_do_not_panic(bytes in vec(any::<u8>(), 0..200)) {
+        // Only panics matter here, not whether the bytes decode.
         let _ = (Command::decode(&bytes), Feed::decode(&bytes), State::decode(&bytes));
     }
 }
--- a/crates/control/tests/control/document.rs
+++ b/crates/control/tests/control/document.rs
@@ -1,4 +1,5 @@
-//! The route document and rollouts: the highest version wins, resends change nothing.
+//! The route document and rollout orders: the highest document version wins, and resends change
+//! nothing.
 
 use googletest::prelude::*;
 use lycheehub_control::state::{Command, DocumentRecord, Reply, RolloutOrder, RolloutState, State};
@@ -11,7 +12,7 @@
 }
 
 #[gtest]
-fn the_highest_version_wins_in_any_order() {
+fn highest_version_wins_in_any_order() {
     let mut state = State::default();
     expect_that!(submit(&mut state, 1, 5, "five"), eq(&Reply::Document { version: 5 }));
     expect_that!(submit(&mut state, 2, 3, "three"), eq(&Reply::Document { version: 5 }));
@@ -20,7 +21,7 @@
 }
 
 #[gtest]
-fn other_content_under_the_version_held_is_not_taken() {
+fn different_content_with_the_current_version_is_ignored() {
     let mut state = State::default();
     submit(&mut state, 1, 5, "five");
     let revision = state.revision;
@@ -30,19 +31,19 @@
 }
 
 #[gtest]
-fn a_document_is_passed_on_once_and_survives_a_snapshot() {
+fn document_is_in_the_feed_once_and_survives_a_snapshot() {
     let mut state = State::default();
     submit(&mut state, 4, 5, "five");
     let restored = State::decode(&state.encode()).unwrap();
     expect_that!(restored.document, eq(&state.document));
-    let mut learner = State::default();
-    expect_that!(learner.apply_feed(restored.feed_after(0)), eq(true));
-    expect_that!(learner.document, eq(&state.document));
+    let mut follower = State::default();
+    expect_that!(follower.apply_feed(restored.feed_after(0)), eq(true));
+    expect_that!(follower.document, eq(&state.document));
     expect_that!(restored.feed_after(4).document, none());
 }
 
 #[gtest]
-fn a_rollout_that_is_ordered_again_is_the_same_one() {
+fn repeated_rollout_order_changes_nothing() {
     let order = |target: &str, now_unix_ms| RolloutOrder {
         service: "writer".into(),
         target: target.into(),
--- a/crates/control/tests/control/fixtures.rs
+++ b/crates/control/tests/control/fixtures.rs
@@ -1,8 +1,8 @@
-//! What the tests share.
+//! Shared test fixtures.
 
 use proptest::test_runner::{Config, RngAlgorithm, RngSeed};
 
-/// Returns the configuration of a property test with fixed draws.
+/// Returns the configuration of a property test with a fixed seed.
 pub fn config(cases: u32) -> Config {
     Config {
         cases,
--- a/crates/control/tests/control/moves.rs
+++ b/crates/control/tests/control/moves.rs
@@ -1,5 +1,5 @@
-//! Version moves over many seeded runs of the pure controller; arrivals and outcomes are drawn
-//! directly. `cargo test -p lycheehub-control -- moves --nocapture` prints the table.
+//! Version moves over many seeded runs of the controller; arrivals and outcomes are drawn at
+//! random. `cargo test -p lycheehub-control -- moves --nocapture` prints the results table.
 
 use lycheehub_control::State;
 use lycheehub_control::moves::{
@@ -14,42 +14,43 @@
 const RUNS: u64 = 200;
 const ROUTES: [(&str, f64); 3] = [("chat", 0.6), ("completions", 0.3), ("labels", 0.1)];
 
-/// How the new version behaves.
+/// The behaviour of the new version.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Kind {
     Good,
     Fails(f64),
     Slow(f64),
-    /// Fails one in ten after this many seconds of clean traffic.
+    /// Fails 10% of requests after this many seconds without faults.
     FailsLater(u64),
-    /// Takes half as long again once it has a quarter of the traffic or more.
+    /// Takes 1.5 times as long once it has a quarter of the traffic or more.
     SlowUnderLoad,
-    /// Fails one in ten on the route that has a tenth of the traffic.
+    /// Fails 10% of requests on the route with 10% of the traffic.
     FailsOnOneRoute,
-    /// Good, while old and new alike get three times slower for ten minutes.
+    /// Is good, while both versions become three times slower for ten minutes.
     GoodInSlowdown,
 }
 
-/// Who decides.
+/// The strategy that decides the steps.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Decider {
     Controller,
-    /// A new leader takes over every 90 seconds.
+    /// The controller, with a leader change every 90 seconds.
     ControllerWithLeaderChanges,
-    /// Fixed steps, taken back where more than 5 in 100 fail or the mean time is half as long again.
+    /// Fixed steps; reverts if more than 5% of requests fail or the mean time is more than 1.5
+    /// times as long.
     FixedSteps,
-    /// All traffic at once, taken back by the same rule.
+    /// All traffic at once, with the same revert rule.
     AllAtOnce,
 }
 
 #[derive(Clone, Copy, Debug, Default)]
-struct Ended {
+struct RunResult {
     done_in_time: bool,
     reverted: bool,
     to_new: u64,
     requests: u64,
-    /// Requests to the new version after its badness began.
-    after_bad: u64,
+    /// Requests to the new version after its fault began.
+    requests_after_fault: u64,
 }
 
 struct Run {
@@ -58,7 +59,7 @@
     minutes: u64,
     rng: SmallRng,
     state: State,
-    /// What each route owes the new version, in thousandths.
+    /// The accumulated share that each route still owes the new version, in thousandths.
     owed: [u32; 3],
 }
 
@@ -80,7 +81,7 @@
         Self { kind, rate, minutes, rng: SmallRng::seed_from_u64(seed), state, owed: [500; 3] }
     }
 
-    fn is_bad(&self, second: u64) -> bool {
+    fn has_regressed(&self, second: u64) -> bool {
         match self.kind {
             Kind::Good | Kind::GoodInSlowdown => false,
             Kind::FailsLater(after) => second >= after,
@@ -95,29 +96,29 @@
 
     /// Draws the outcome of a request.
     fn outcome(&mut self, new: bool, route: &str, second: u64) -> Observation {
-        const USUAL_FAILURES: f64 = 0.002;
+        const BASELINE_FAILURES: f64 = 0.002;
         const TOKEN_MS: f64 = 20.0;
         const SPREAD: f64 = 0.25;
-        let bad = new && self.is_bad(second);
+        let bad = new && self.has_regressed(second);
         let (fails, slow) = match self.kind {
             Kind::Fails(part) if bad => (part, 1.0),
             Kind::FailsLater(_) if bad => (0.1, 1.0),
             Kind::FailsOnOneRoute if bad && route == "labels" => (0.1, 1.0),
-            Kind::Slow(ratio) if bad => (USUAL_FAILURES, ratio),
-            Kind::SlowUnderLoad if bad => (USUAL_FAILURES, 1.5),
-            Kind::GoodInSlowdown if (600..1_200).contains(&second) => (USUAL_FAILURES, 3.0),
-            _ => (USUAL_FAILURES, 1.0),
+            Kind::Slow(ratio) if bad => (BASELINE_FAILURES, ratio),
+            Kind::SlowUnderLoad if bad => (BASELINE_FAILURES, 1.5),
+            Kind::GoodInSlowdown if (600..1_200).contains(&second) => (BASELINE_FAILURES, 3.0),
+            _ => (BASELINE_FAILURES, 1.0),
         };
         if self.rng.random_bool(fails) {
             return Observation::failure();
         }
-        // The sum of twelve draws is close to a normal distribution.
+        // The sum of twelve uniform draws is close to a normal distribution.
         let normal: f64 = (0..12).map(|_| self.rng.random::<f64>()).sum::<f64>() - 6.0;
         Observation::success(TOKEN_MS * slow * (SPREAD * normal).exp())
     }
 
-    /// Draws one second's requests.
-    fn second(&mut self, second: u64, ended: &mut Ended) -> Observations {
+    /// Draws the requests of one second.
+    fn second(&mut self, second: u64, result: &mut RunResult) -> Observations {
         let mut observations = Observations::new();
         let mut expected = self.rate;
         while expected > 0.0 {
@@ -141,9 +142,9 @@
             if new {
                 *owed -= 1_000;
             }
-            ended.requests += 1;
-            ended.to_new += u64::from(new);
-            ended.after_bad += u64::from(new && self.is_bad(second));
+            result.requests += 1;
+            result.to_new += u64::from(new);
+            result.requests_after_fault += u64::from(new && self.has_regressed(second));
             let name = ROUTES[route].0;
             let key = ObservationKey {
                 service: "writer".into(),
@@ -155,14 +156,14 @@
         observations
     }
 
-    fn run(mut self, decider: Decider) -> Ended {
-        let mut ended = Ended::default();
+    fn run(mut self, decider: Decider) -> RunResult {
+        let mut result = RunResult::default();
         let mut controller = MoveController::default();
-        let mut plain = Plain::default();
+        let mut threshold_rule = ThresholdRule::default();
         let supply: SlotsByVersion = ["v1", "v2"].map(|v| (("writer".into(), v.into()), 32)).into();
         for second in 0..self.minutes * 60 + 60 {
             let now_unix_ms = BEGIN_UNIX_MS + second * 1_000;
-            let seen = self.second(second, &mut ended);
+            let seen = self.second(second, &mut result);
             if decider == Decider::ControllerWithLeaderChanges && second % 90 == 89 {
                 controller = MoveController::default();
             }
@@ -171,31 +172,31 @@
                 Decider::Controller | Decider::ControllerWithLeaderChanges => {
                     controller.tick(now_unix_ms, &self.state, &supply)
                 }
-                _ => plain.tick(decider, second, self.minutes * 60, &seen, &self.state),
+                _ => threshold_rule.tick(decider, second, self.minutes * 60, &seen, &self.state),
             };
             for step in steps {
                 self.state.apply(10 + second, Command::StepMove(step));
             }
             let record = &self.state.moves["m"];
             if record.phase.is_final() {
-                ended.reverted = record.phase == Phase::Reverted;
-                ended.done_in_time =
+                result.reverted = record.phase == Phase::Reverted;
+                result.done_in_time =
                     record.phase == Phase::Done && now_unix_ms <= record.spec.by_unix_ms;
                 break;
             }
         }
-        ended
+        result
     }
 }
 
-/// The baselines' rule.
+/// The baseline strategies with a threshold_rule threshold rule.
 #[derive(Default)]
-struct Plain {
+struct ThresholdRule {
     old: Observation,
     new: Observation,
 }
 
-impl Plain {
+impl ThresholdRule {
     fn tick(
         &mut self,
         decider: Decider,
@@ -240,66 +241,70 @@
     }
 }
 
-struct Row {
+struct Measurement {
     done_in_time: f64,
     reverted: f64,
-    /// The most requests to a bad version in 95 of 100 runs, and their share of the service's.
+    /// The 95th percentile of requests to a bad version, and their share of the service's requests.
     to_bad: u64,
     share_to_bad: f64,
 }
 
-fn measure(decider: Decider, kind: Kind, rate: f64, minutes: u64, runs: u64) -> Row {
-    let ended: Vec<Ended> =
+fn measure(decider: Decider, kind: Kind, rate: f64, minutes: u64, runs: u64) -> Measurement {
+    let results: Vec<RunResult> =
         (0..runs).map(|seed| Run::new(kind, rate, minutes, seed * 31 + 7).run(decider)).collect();
     let part = |count: usize| count as f64 * 100.0 / runs as f64;
     let mut to_bad: Vec<(u64, u64)> =
-        ended.iter().map(|end| (end.after_bad, end.requests)).collect();
+        results.iter().map(|result| (result.requests_after_fault, result.requests)).collect();
     to_bad.sort_unstable();
-    let (at_95, requests) = to_bad[(runs as usize * 95).div_ceil(100) - 1];
-    let row = Row {
-        done_in_time: part(ended.iter().filter(|end| end.done_in_time).count()),
-        reverted: part(ended.iter().filter(|end| end.reverted).count()),
-        to_bad: at_95,
-        share_to_bad: at_95 as f64 * 100.0 / requests.max(1) as f64,
+    let (p95, requests) = to_bad[(runs as usize * 95).div_ceil(100) - 1];
+    let measured = Measurement {
+        done_in_time: part(results.iter().filter(|result| result.done_in_time).count()),
+        reverted: part(results.iter().filter(|result| result.reverted).count()),
+        to_bad: p95,
+        share_to_bad: p95 as f64 * 100.0 / requests.max(1) as f64,
     };
     println!(
         "{decider:?} | {kind:?} | {rate}/s, {minutes} min | done in time {:.1}% | taken back {:.1}% | to the bad version (95 in 100 runs) {} = {:.1}%",
-        row.done_in_time, row.reverted, row.to_bad, row.share_to_bad
+        measured.done_in_time, measured.reverted, measured.to_bad, measured.share_to_bad
     );
-    row
+    measured
 }
 
 #[test]
-fn good_versions_are_done_in_time_and_not_taken_back() {
+fn good_versions_finish_in_time_and_are_not_reverted() {
     for (rate, minutes) in [(20.0, 20), (2.0, 30), (0.25, 60)] {
         for kind in [Kind::Good, Kind::GoodInSlowdown] {
-            let row = measure(Decider::Controller, kind, rate, minutes, RUNS);
-            assert!(row.done_in_time >= 99.0, "{kind:?} at {rate}/s");
-            assert!(row.reverted < 1.0, "{kind:?} at {rate}/s");
+            let measured = measure(Decider::Controller, kind, rate, minutes, RUNS);
+            assert!(measured.done_in_time >= 99.0, "{kind:?} at {rate}/s");
+            assert!(measured.reverted < 1.0, "{kind:?} at {rate}/s");
         }
     }
 }
 
 #[test]
-fn clearly_bad_versions_are_taken_back() {
+fn clearly_bad_versions_are_reverted() {
     for (rate, minutes) in [(20.0, 20), (2.0, 30), (0.25, 60)] {
         for kind in [Kind::Fails(1.0), Kind::Fails(0.1), Kind::Slow(3.0), Kind::Slow(1.5)] {
-            let row = measure(Decider::Controller, kind, rate, minutes, RUNS);
-            assert!(row.reverted >= 99.0, "{kind:?} at {rate}/s");
+            let measured = measure(Decider::Controller, kind, rate, minutes, RUNS);
+            assert!(measured.reverted >= 99.0, "{kind:?} at {rate}/s");
         }
     }
 }
 
 #[test]
-fn a_clearly_bad_version_gets_few_requests_where_traffic_allows_to_tell() {
+fn clearly_bad_version_gets_few_requests_at_sufficient_traffic() {
     for kind in [Kind::Fails(1.0), Kind::Fails(0.1), Kind::Slow(3.0), Kind::Slow(1.5)] {
-        let row = measure(Decider::Controller, kind, 20.0, 20, RUNS);
-        assert!(row.to_bad <= 20 || row.share_to_bad <= 2.0, "{kind:?}: {}", row.to_bad);
+        let measured = measure(Decider::Controller, kind, 20.0, 20, RUNS);
+        assert!(
+            measured.to_bad <= 20 || measured.share_to_bad <= 2.0,
+            "{kind:?}: {}",
+            measured.to_bad
+        );
     }
 }
 
 #[test]
-fn badness_that_comes_late_or_under_load_or_on_one_route_is_found() {
+fn late_load_dependent_and_single_route_faults_are_detected() {
     let cases = [
         (Kind::FailsLater(600), 20.0, 20),
         (Kind::FailsLater(3_600), 2.0, 90),
@@ -307,13 +312,13 @@
         (Kind::FailsOnOneRoute, 20.0, 20),
     ];
     for (kind, rate, minutes) in cases {
-        let row = measure(Decider::Controller, kind, rate, minutes, RUNS);
-        assert!(row.reverted >= 99.0, "{kind:?} at {rate}/s");
+        let measured = measure(Decider::Controller, kind, rate, minutes, RUNS);
+        assert!(measured.reverted >= 99.0, "{kind:?} at {rate}/s");
     }
 }
 
 #[test]
-fn leader_changes_neither_stop_a_good_move_nor_save_a_bad_one() {
+fn leader_changes_do_not_alter_the_outcome_of_a_move() {
     let changes = Decider::ControllerWithLeaderChanges;
     let good = measure(changes, Kind::Good, 20.0, 20, RUNS);
     assert!(good.done_in_time >= 99.0 && good.reverted < 1.0);
@@ -321,9 +326,10 @@
     assert!(bad.reverted >= 99.0);
 }
 
-/// Prints what is only measured: small badness, and the baselines.
+/// Prints the results for small regressions and for the baseline strategies; these are measured,
+/// not asserted.
 #[test]
-fn small_badness_and_baselines_for_the_table() {
+fn print_small_regressions_and_baselines() {
     for kind in [Kind::Fails(0.02), Kind::Slow(1.2)] {
         measure(Decider::Controller, kind, 20.0, 20, 50);
         measure(Decider::Controller, kind, 2.0, 30, 50);
--- a/crates/control/tests/control/placement.rs
+++ b/crates/control/tests/control/placement.rs
@@ -1,4 +1,5 @@
-//! Orders: fenced, one at a time for each endpoint, within the weight store's rate.
+//! Load orders: fenced, at most one outstanding per endpoint, and within the weight store's rate
+//! limit.
 
 use lycheehub_control::State;
 use lycheehub_control::placement::{Leadership, LoadOrder, PlacementController};
@@ -67,7 +68,7 @@
 }
 
 #[test]
-fn a_move_loads_as_many_endpoints_as_its_next_share_fills() {
+fn move_loads_enough_endpoints_for_its_next_share() {
     let mut state = state();
     let mut live: Vec<EndpointRecord> =
         (0..10).map(|number| endpoint(number, "v1", true)).collect();
@@ -89,7 +90,7 @@
 }
 
 #[test]
-fn the_last_endpoint_of_the_old_version_stays_until_the_move_is_done() {
+fn last_endpoint_of_the_old_version_stays_until_the_move_is_done() {
     let mut state = state();
     step(&mut state, Phase::Ramp, 750);
     let live = [endpoint(0, "v2", true), endpoint(1, "v1", true)];
@@ -101,7 +102,7 @@
 }
 
 #[test]
-fn a_reverted_move_gives_its_endpoints_back() {
+fn reverted_move_reloads_the_old_version() {
     let mut state = state();
     step(&mut state, Phase::Reverted, 0);
     let live = [endpoint(0, "v2", true), endpoint(1, "v1", true)];
@@ -110,7 +111,7 @@
 }
 
 #[test]
-fn fencing_numbers_grow_within_a_term_and_with_terms() {
+fn fencing_tokens_increase_within_and_across_terms() {
     let mut state = state();
     step(&mut state, Phase::Ramp, 500);
     let live: Vec<EndpointRecord> = (0..8).map(|number| endpoint(number, "v1", true)).collect();
@@ -125,7 +126,7 @@
 }
 
 #[test]
-fn a_new_leader_leaves_endpoints_alone_that_ignore_fencing_numbers() {
+fn new_leader_waits_for_endpoints_that_ignore_fencing_tokens() {
     let live = [endpoint(0, "v1", false), endpoint(1, "v1", false)];
     let live: Vec<&EndpointRecord> = live.iter().collect();
     let mut placer = PlacementController::default();
@@ -134,7 +135,7 @@
 }
 
 #[test]
-fn loads_keep_within_the_weight_stores_rate() {
+fn loads_stay_within_the_rate_limit() {
     let mut state = state();
     step(&mut state, Phase::Ramp, 750);
     let live: Vec<EndpointRecord> = (0..100).map(|number| endpoint(number, "v1", true)).collect();
--- a/crates/control/tests/control/registry.rs
+++ b/crates/control/tests/control/registry.rs
@@ -1,4 +1,4 @@
-//! Leases by sequence number, whatever way and however late the records come.
+//! Leases are renewed by sequence number, whatever the path and delay of the records.
 
 use lycheehub_control::registry::{Cursor, ENDPOINT_LEASE_MS, Registry};
 use lycheehub_types::{EndpointKind, EndpointLoad, EndpointRecord};
@@ -23,7 +23,7 @@
 }
 
 #[test]
-fn a_record_that_took_long_holds_no_longer_than_one_that_did_not() {
+fn transfer_delay_does_not_extend_a_lease() {
     let mut registry = Registry::default();
     registry.update_endpoint(10_000, record(1, 1, false), 3_000);
     let ends_ms = 7_000 + ENDPOINT_LEASE_MS;
@@ -32,7 +32,7 @@
 }
 
 #[test]
-fn an_old_record_renews_nothing() {
+fn outdated_record_does_not_renew_a_lease() {
     let mut registry = Registry::default();
     assert!(registry.update_endpoint(1_000, record(2, 5, false), 0));
     assert!(!registry.update_endpoint(4_000, record(2, 5, false), 0));
@@ -42,7 +42,7 @@
 }
 
 #[test]
-fn leaving_holds_until_the_endpoint_starts_again() {
+fn leaving_lasts_until_the_endpoint_restarts() {
     let mut registry = Registry::default();
     registry.update_endpoint(1_000, record(1, 1, true), 0);
     registry.update_endpoint(1_100, record(1, 2, false), 0);
@@ -52,7 +52,7 @@
 }
 
 #[test]
-fn a_delta_holds_only_what_changed() {
+fn delta_contains_only_changes() {
     let mut from = Registry::default();
     from.update_endpoint(1_000, record(1, 1, false), 0);
     let (delta, cursor) = from.delta_after(1_500, Cursor::default());
@@ -64,7 +64,7 @@
 }
 
 #[test]
-fn a_renewal_carries_only_what_changes_with_each_announcement() {
+fn renewal_carries_only_the_sequence_number_and_load() {
     let mut from = Registry::default();
     from.update_endpoint(1_000, record(1, 1, false), 0);
     let (first, cursor) = from.delta_after(1_000, Cursor::default());
@@ -75,10 +75,10 @@
     to.apply_delta(1_000, first);
     assert!(to.apply_delta(2_000, second.clone()));
     assert_eq!(to.live_endpoints(2_000 + ENDPOINT_LEASE_MS - 1).count(), 1);
-    // A change of more than that goes as a whole record.
+    // A change to any other field is sent as a whole record.
     from.update_endpoint(3_000, record(1, 3, true), 0);
     assert_eq!(from.delta_after(3_000, cursor).0.endpoints.len(), 1);
-    // Who lacks the record learns that it does.
+    // A receiver without the record detects that it needs a full sync.
     let mut new = Registry::default();
     assert!(!new.apply_delta(2_000, second));
     assert!(new.take_needs_full_sync());
--- a/crates/control/tests/control/rollouts.rs
+++ b/crates/control/tests/control/rollouts.rs
@@ -1,5 +1,5 @@
-//! Rollouts with a time limit of seconds: good versions in time, bad ones back, little for either
-//! until then.
+//! Rollouts with a time limit of seconds: good versions complete in time, bad ones are rolled back,
+//! and neither receives many requests until then.
 
 use googletest::prelude::*;
 use lycheehub_control::moves::{
@@ -12,25 +12,25 @@
 
 const BEGIN_UNIX_MS: u64 = 1_000_000;
 const DURATION_MS: u64 = 12_000;
-const PER_S: f64 = 150.0;
+const REQUESTS_PER_S: f64 = 150.0;
 
-/// What is wrong with the new version, from when on.
+/// A fault of the new version and when it begins.
 #[derive(Clone, Copy)]
 struct Fault {
-    fails: f64,
-    slower: f64,
+    failure_rate: f64,
+    slowdown: f64,
     from_ms: u64,
-    /// On one route of five only.
+    /// Whether the fault affects only one of five routes.
     on_one_route: bool,
 }
 
-const GOOD: Fault = Fault { fails: 0.0, slower: 1.0, from_ms: 0, on_one_route: false };
+const GOOD: Fault = Fault { failure_rate: 0.0, slowdown: 1.0, from_ms: 0, on_one_route: false };
 
-struct Played {
+struct RolloutResult {
     state: RolloutState,
-    /// When it ended, in milliseconds after the order.
+    /// When the rollout ended, in milliseconds after the order.
     ended_ms: u64,
-    /// The share of all requests until the time limit that went to the new version.
+    /// The fraction of all requests up to the time limit that went to the new version.
     exposure: f64,
 }
 
@@ -48,8 +48,8 @@
     ObservationKey { service: "writer".into(), version: version.into(), route }
 }
 
-/// Plays a rollout; the new version's endpoints are there after 1.5 s.
-fn play(seed: u64, fault: Fault) -> Played {
+/// Simulates a rollout. The new version's endpoints become available after 1.5 s.
+fn simulate(seed: u64, fault: Fault) -> RolloutResult {
     const STEP_MS: u64 = 50;
     let mut rng = SmallRng::seed_from_u64(seed);
     let mut state = State::default();
@@ -61,7 +61,7 @@
     for at_ms in (0..DURATION_MS).step_by(STEP_MS as usize) {
         let record = state.rollouts[&writer].clone();
         let mut seen = Observations::new();
-        for _ in 0..(PER_S * STEP_MS as f64 / 1e3) as u32 {
+        for _ in 0..(REQUESTS_PER_S * STEP_MS as f64 / 1e3) as u32 {
             let route = rng.random_range(0..5);
             let is_new = match record.state {
                 RolloutState::Running => rng.random_ratio(record.share_permille, 1_000),
@@ -70,12 +70,12 @@
             all += 1.0;
             new += f64::from(u8::from(is_new));
             let is_bad = is_new && at_ms >= fault.from_ms && (!fault.on_one_route || route == 0);
-            // One in a hundred fails anyway, and engines are five to one in speed.
-            let fails = 0.01 + if is_bad { fault.fails } else { 0.0 };
+            // The baseline failure rate is 1%, and engine speeds differ by a factor of five.
+            let failure_rate = 0.01 + if is_bad { fault.failure_rate } else { 0.0 };
             let pace_ms = [70.0, 25.0, 14.0][rng.random_range(0..3)] * rng.random_range(0.7..1.4);
-            let pace_ms = pace_ms * if is_bad { fault.slower } else { 1.0 };
+            let pace_ms = pace_ms * if is_bad { fault.slowdown } else { 1.0 };
             let version = if is_new { "v2" } else { "v1" };
-            let failed = rng.random::<f64>() < fails;
+            let failed = rng.random::<f64>() < failure_rate;
             let observation =
                 if failed { Observation::failure() } else { Observation::success(pace_ms) };
             *seen.entry(key(version, route)).or_default() += observation;
@@ -96,51 +96,51 @@
         }
     }
     let state = state.rollouts[&writer].state;
-    Played { state, ended_ms, exposure: new / all }
+    RolloutResult { state, ended_ms, exposure: new / all }
 }
 
 #[gtest]
-fn a_good_version_is_completed_in_time() {
+fn good_version_completes_in_time() {
     for seed in 0..40 {
-        let played = play(seed, GOOD);
-        expect_that!(played.state, eq(RolloutState::Completed), "seed {seed}");
-        expect_that!(played.ended_ms, lt(DURATION_MS));
+        let result = simulate(seed, GOOD);
+        expect_that!(result.state, eq(RolloutState::Completed), "seed {seed}");
+        expect_that!(result.ended_ms, lt(DURATION_MS));
     }
 }
 
 #[gtest]
-fn a_bad_version_is_taken_back_and_gets_a_tenth_at_most() {
+fn bad_version_is_rolled_back_and_gets_at_most_a_tenth() {
     let faults = [
-        Fault { fails: 0.4, ..GOOD },
-        Fault { fails: 0.4, from_ms: 5_000, ..GOOD },
-        Fault { slower: 5.0, ..GOOD },
-        Fault { fails: 0.8, on_one_route: true, ..GOOD },
+        Fault { failure_rate: 0.4, ..GOOD },
+        Fault { failure_rate: 0.4, from_ms: 5_000, ..GOOD },
+        Fault { slowdown: 5.0, ..GOOD },
+        Fault { failure_rate: 0.8, on_one_route: true, ..GOOD },
     ];
-    // Fifty requests besides, of those that come until the time limit.
-    let slack = 50.0 / (PER_S * DURATION_MS as f64 / 1e3);
+    // Allows 50 requests more, as a fraction of the requests up to the time limit.
+    let slack = 50.0 / (REQUESTS_PER_S * DURATION_MS as f64 / 1e3);
     for (number, fault) in faults.into_iter().enumerate() {
         for seed in 0..20 {
-            let played = play(seed, fault);
-            expect_that!(played.state, eq(RolloutState::RolledBack), "fault {number} {seed}");
-            expect_that!(played.exposure, lt(0.1 + slack), "fault {number} {seed}");
+            let result = simulate(seed, fault);
+            expect_that!(result.state, eq(RolloutState::RolledBack), "fault {number} {seed}");
+            expect_that!(result.exposure, lt(0.1 + slack), "fault {number} {seed}");
         }
     }
 }
 
 #[gtest]
-fn a_version_without_endpoints_is_taken_back_at_its_time() {
+fn version_without_endpoints_is_rolled_back_at_the_deadline() {
     let mut state = State::default();
     state.apply(1, Command::StartRollout(order()));
     let mut rollouts = RolloutController::default();
-    let none = |_: &_| VersionCapacity::default();
-    expect_that!(rollouts.tick(BEGIN_UNIX_MS + 6_000, &state, none), is_empty());
-    let steps = rollouts.tick(BEGIN_UNIX_MS + DURATION_MS, &state, none);
+    let no_endpoints = |_: &_| VersionCapacity::default();
+    expect_that!(rollouts.tick(BEGIN_UNIX_MS + 6_000, &state, no_endpoints), is_empty());
+    let steps = rollouts.tick(BEGIN_UNIX_MS + DURATION_MS, &state, no_endpoints);
     expect_that!(steps.len(), eq(1));
     expect_that!(steps[0].state, eq(RolloutState::RolledBack));
 }
 
 #[gtest]
-fn a_step_that_was_decided_by_an_older_record_changes_nothing() {
+fn step_based_on_an_older_record_is_ignored() {
     let mut state = State::default();
     state.apply(4, Command::StartRollout(order()));
     let step = |after_revision, state| RolloutStep {
@@ -157,7 +157,7 @@
     let record = state.rollouts[&"writer".into()].clone();
     expect_that!(record.state, eq(RolloutState::RolledBack));
     expect_that!(record.ended_unix_ms, eq(BEGIN_UNIX_MS + 100));
-    // What was taken back gets nothing while another version is rolled out.
+    // A rolled-back version stays barred while another version is rolled out.
     let next = RolloutOrder { target: "v3".into(), ..order() };
     state.apply(8, Command::StartRollout(next));
     expect_that!(state.rollouts[&"writer".into()].barred, elements_are![eq(&"v2".into())]);
--- a/crates/control/tests/control/slots.rs
+++ b/crates/control/tests/control/slots.rs
@@ -1,4 +1,5 @@
-//! Grants never sum to more than an endpoint has, whatever instances want and whoever dies.
+//! Grants never sum to more than the endpoint's slots, whatever instances demand and whichever of
+//! them fail.
 
 use crate::fixtures::config;
 use lycheehub_control::slots::{Demand, GRANT_LEASE_MS, SlotAllocator};
@@ -32,7 +33,7 @@
 }
 
 #[test]
-fn slots_go_to_the_instance_with_the_higher_tier() {
+fn slots_go_to_the_instance_with_the_higher_tier_first() {
     let mut allocator = SlotAllocator::default();
     let (a, b) = ("a".into(), "b".into());
     let low = Demand { in_use: 0, wanted: [0, 0, 0, 0, 8] };
@@ -46,7 +47,7 @@
 }
 
 #[test]
-fn a_dead_instance_gives_its_slots_back() {
+fn slots_of_a_dead_instance_are_released() {
     let mut allocator = SlotAllocator::default();
     let want = Demand { in_use: 0, wanted: [8, 0, 0, 0, 0] };
     assert_eq!(allocator.grant(0, &"engine".into(), 8, &"dead".into(), want), 8);
--- a/crates/control/tests/control/state.rs
+++ b/crates/control/tests/control/state.rs
@@ -1,4 +1,4 @@
-//! Sections and moves as replicated.
+//! Replicated sections and moves.
 
 use lycheehub_control::State;
 use lycheehub_control::state::{ApplyOutcome, Command, MoveStep, Phase, Reply, Submission};
@@ -38,7 +38,7 @@
 }
 
 #[test]
-fn of_two_submissions_on_one_base_one_wins() {
+fn first_of_two_submissions_with_one_base_wins() {
     let mut state = State::default();
     assert_eq!(submit(&mut state, 5, 0, "ana", BASE), ApplyOutcome::Accepted { revision: 5 });
     let lost = ApplyOutcome::Conflict {
@@ -50,14 +50,14 @@
 }
 
 #[test]
-fn only_the_owner_changes_a_section() {
+fn only_the_owner_may_change_a_section() {
     let mut state = State::default();
     submit(&mut state, 5, 0, "ana", BASE);
     assert!(matches!(submit(&mut state, 6, 5, "eva", BASE), ApplyOutcome::Invalid { .. }));
 }
 
 #[test]
-fn a_step_decided_on_an_old_state_is_not_taken() {
+fn step_based_on_an_older_state_is_ignored() {
     let mut state = State::default();
     submit(&mut state, 5, 0, "ana", &(BASE.to_owned() + &order("m1", "v2", "run")));
     assert!(step(&mut state, 6, 0, Phase::Canary, 20));
@@ -67,7 +67,7 @@
 }
 
 #[test]
-fn a_reverted_move_stays_reverted_whatever_is_submitted() {
+fn reverted_move_stays_reverted_after_a_resubmission() {
     let mut state = State::default();
     let with_move = BASE.to_owned() + &order("m1", "v2", "run");
     submit(&mut state, 5, 0, "ana", &with_move);
@@ -79,7 +79,7 @@
 }
 
 #[test]
-fn a_later_move_of_the_service_takes_the_place_of_an_earlier_one() {
+fn later_move_of_a_service_supersedes_the_earlier_one() {
     let mut state = State::default();
     let first = BASE.to_owned() + &order("m1", "v2", "run");
     submit(&mut state, 5, 0, "ana", &first);
@@ -89,16 +89,16 @@
 }
 
 #[test]
-fn changes_reach_a_state_without_a_log() {
+fn feed_updates_a_state_without_a_log() {
     let mut state = State::default();
     submit(&mut state, 5, 0, "ana", &(BASE.to_owned() + &order("m1", "v2", "run")));
-    let mut learned = State::default();
-    assert!(learned.apply_feed(state.feed_after(0)));
+    let mut follower = State::default();
+    assert!(follower.apply_feed(state.feed_after(0)));
     step(&mut state, 8, 0, Phase::Canary, 20);
-    let feed = state.feed_after(learned.revision);
+    let feed = state.feed_after(follower.revision);
     assert!(feed.sections.is_empty());
-    assert!(learned.apply_feed(feed));
-    assert_eq!((&learned.moves, &learned.estate), (&state.moves, &state.estate));
+    assert!(follower.apply_feed(feed));
+    assert_eq!((&follower.moves, &follower.estate), (&state.moves, &state.estate));
     // An older feed changes nothing.
-    assert!(!learned.apply_feed(state.feed_after(0)));
+    assert!(!follower.apply_feed(state.feed_after(0)));
 }
