--- a/crates/route/src/versions.rs
+++ b/crates/route/src/versions.rs
@@ -125,7 +125,7 @@
         if self.tripped.is_some() {
             return None;
         }
-        let Verdict::Bad(reason) = self.comparison.verdict() else { return None };
+        let Verdict::Regressed(reason) = self.comparison.verdict() else { return None };
         self.tripped = Some(reason.clone());
         Some((move_id, reason))
     }
