--- a/crates/cli/tests/deployment/http.rs
+++ b/crates/cli/tests/deployment/http.rs
@@ -1,16 +1,16 @@
-//! What stand-ins and callers need of HTTP.
+//! The HTTP helpers shared by stand-in endpoints and callers.
 
 use std::io::Read;
 use std::net::TcpStream;
 
-/// Returns a header field's value.
+/// Returns the value of a header field.
 pub fn field(head: &str, name: &str) -> Option<String> {
     let mut fields = head.lines().filter_map(|line| line.split_once(':'));
     let (_, value) = fields.find(|(other, _)| other.eq_ignore_ascii_case(name))?;
     Some(value.trim().to_owned())
 }
 
-/// Reads the head and the body of a request; nothing at the end of the connection.
+/// Reads the head and the body of a request; `None` once the connection has ended.
 pub fn read_request(stream: &mut TcpStream) -> Option<(String, String)> {
     let mut head = Vec::new();
     let mut byte = [0; 1];
@@ -25,7 +25,7 @@
     Some((head, String::from_utf8_lossy(&body).into_owned()))
 }
 
-/// Returns a chunk of a body.
+/// Encodes a chunk of a chunked body.
 pub fn chunk(text: &str) -> String {
     format!("{:x}\r\n{text}\r\n", text.len())
 }
--- a/crates/cli/tests/deployment/mod.rs
+++ b/crates/cli/tests/deployment/mod.rs
@@ -1,6 +1,6 @@
-//! A deployment on the platform for tests: the real programs as separate processes on loopback
-//! addresses of their own, with a proxy on each path from an instance to a control instance.
-#![allow(dead_code, reason = "each test binary uses a part")]
+//! A test deployment on the platform: the real processes, each on its own loopback address, with an
+//! optional proxy on each network path from an instance to a control instance.
+#![allow(dead_code, reason = "each test binary uses a subset")]
 
 pub mod http;
 
@@ -13,32 +13,33 @@
 use std::sync::atomic::{AtomicU32, Ordering};
 use std::time::{Duration, Instant};
 
-/// Where control instances listen for endpoints and operators.
+/// The port on which control instances listen for endpoints and operators.
 pub const CONTROL_PORT: u16 = 8229;
-/// Where entry instances listen for callers.
+/// The port on which entry instances listen for callers.
 pub const FRONT_PORT: u16 = 8221;
-/// Where the balancer asks.
+/// The port on which entry instances report their readiness to the load balancer.
 pub const READY_PORT: u16 = 8224;
-/// The peer port of the first process; each has one of its own, by which it also reaches others.
+/// The peer port of the first process. With proxies, each process has its own peer port, which it also
+/// uses as the destination port to reach the others.
 const PEER_PORT: u16 = 7600;
-/// How long anything that must come about may take.
+/// How long a test waits for an expected condition.
 pub const PATIENCE: Duration = Duration::from_secs(60);
-/// How long a call to a control instance may take.
+/// How long a call to an instance may take.
 const CALL_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// Numbers the deployments of this run, so that tests beside each other do not meet.
+/// Numbers the deployments of this test process, so that parallel tests use different addresses.
 static DEPLOYMENTS: AtomicU32 = AtomicU32::new(0);
 
-/// Waits until something is so.
-pub fn eventually(what: &str, mut is_so: impl FnMut() -> bool) {
+/// Polls until `condition` returns true; panics after [`PATIENCE`].
+pub fn eventually(what: &str, mut condition: impl FnMut() -> bool) {
     let started = Instant::now();
-    while !is_so() {
-        assert!(started.elapsed() < PATIENCE, "{what}: not within {PATIENCE:?}");
+    while !condition() {
+        assert!(started.elapsed() < PATIENCE, "timed out after {PATIENCE:?}: {what}");
         std::thread::sleep(Duration::from_millis(50));
     }
 }
 
-/// An answer; of status 0 where there was none.
+/// A reply; its status is 0 if there was none.
 #[derive(Debug, Default)]
 pub struct Reply {
     pub status: u16,
@@ -46,31 +47,31 @@
     pub body: String,
 }
 
-/// Makes a call on a connection of its own.
+/// Sends a request on a new connection and reads the reply.
 pub fn call(address: &str, request: &str, timeout: Duration) -> std::io::Result<Reply> {
     let socket = address.parse().map_err(std::io::Error::other)?;
     let mut stream = TcpStream::connect_timeout(&socket, timeout)?;
     stream.set_read_timeout(Some(timeout))?;
     stream.write_all(request.as_bytes())?;
-    let mut answer = String::new();
-    stream.read_to_string(&mut answer)?;
-    let (head, body) = answer.split_once("\r\n\r\n").unwrap_or((&answer, ""));
+    let mut reply = String::new();
+    stream.read_to_string(&mut reply)?;
+    let (head, body) = reply.split_once("\r\n\r\n").unwrap_or((&reply, ""));
     let status = head.split(' ').nth(1).and_then(|status| status.parse().ok()).unwrap_or(0);
     Ok(Reply { status, head: head.to_owned(), body: body.to_owned() })
 }
 
-/// How many processes a deployment has, and what it bears.
+/// How many processes a deployment has, and how many losses it tolerates.
 #[derive(Clone, Copy, Debug)]
 pub struct Layout {
     pub controls: usize,
     pub entries: usize,
-    /// How many disks may be lost at once.
+    /// How many control instances may lose their data at the same time.
     pub losses: usize,
-    /// Paths to control instances pass proxies.
+    /// Whether network paths to control instances go through proxies.
     pub proxied: bool,
 }
 
-/// A process of the deployment with its settings.
+/// A process of the deployment and its settings.
 #[derive(Debug)]
 pub struct Process {
     pub role: &'static str,
@@ -86,17 +87,17 @@
         self.folder.join(format!("{}.toml", self.ip))
     }
 
-    /// Returns the path of its log.
+    /// Returns the path of its log file.
     pub fn log(&self) -> PathBuf {
         self.folder.join(format!("{}.log", self.ip))
     }
 
-    /// Returns the folder of its data.
+    /// Returns its data folder.
     pub fn data(&self) -> PathBuf {
         self.folder.join(&self.ip)
     }
 
-    /// Starts it; only the first start of a deployment may found its log.
+    /// Starts the process; only on the first start of a deployment may it bootstrap the replicated log.
     pub fn start(&mut self, is_first: bool) {
         let settings = format!("bootstrap = {is_first}\n{}", self.settings);
         std::fs::write(self.settings_path(), settings).unwrap();
@@ -111,26 +112,26 @@
         self.child = Some(child);
     }
 
-    /// Ends it at once, if it runs.
+    /// Kills the process if it runs.
     pub fn kill(&mut self) {
         if let Some(mut child) = self.child.take() {
-            // One that has ended cannot be killed.
+            // Fails if the process has already exited.
             let _ = child.kill();
             let _ = child.wait();
         }
     }
 
-    /// Sends it a signal by its name.
+    /// Sends the process the signal of this name.
     pub fn signal(&self, name: &str) {
         let Some(child) = &self.child else { return };
         let id = child.id().to_string();
         let mut kill = Command::new("kill");
-        // A process that has ended takes none.
+        // Fails if the process has already exited.
         let _ = kill.args([&format!("-{name}"), &id]).stderr(Stdio::null()).status();
     }
 
-    /// Waits until it has ended by itself; kills it after `timeout`.
-    pub fn ends_within(&mut self, timeout: Duration) -> Option<ExitStatus> {
+    /// Waits until the process exits; kills it after `timeout`.
+    pub fn exits_within(&mut self, timeout: Duration) -> Option<ExitStatus> {
         let started = Instant::now();
         let child = self.child.as_mut()?;
         loop {
@@ -146,25 +147,25 @@
         }
     }
 
-    /// Tells whether it has ended though nobody stopped it.
-    pub fn has_ended(&mut self) -> bool {
+    /// Tells whether the process has exited without [`Process::kill`].
+    pub fn has_exited(&mut self) -> bool {
         self.child.as_mut().is_some_and(|child| !matches!(child.try_wait(), Ok(None)))
     }
 }
 
-/// The processes of one deployment; ended with it.
+/// The processes of one deployment; they are killed when it is dropped.
 pub struct Deployment {
-    /// The first three parts of its addresses.
+    /// The first three octets of its addresses.
     pub prefix: String,
     pub folder: PathBuf,
     pub controls: Vec<Process>,
     pub entries: Vec<Process>,
-    /// The proxies, by the addresses of both ends.
+    /// The proxies, by the addresses of the connecting process and the destination.
     pub paths: BTreeMap<(String, String), Proxy>,
 }
 
 impl Deployment {
-    /// Starts all processes, for the very first time.
+    /// Lays out a new deployment and starts all its processes.
     pub fn start(layout: Layout) -> Self {
         let mut deployment = Self::lay_out(layout);
         let processes = deployment.controls.iter_mut().chain(&mut deployment.entries);
@@ -176,7 +177,7 @@
         let number = DEPLOYMENTS.fetch_add(1, Ordering::Relaxed);
         let prefix = format!("127.{}.{}", 64 + std::process::id() % 128, 1 + number);
         let folder = Path::new(env!("CARGO_TARGET_TMPDIR")).join(format!("platform-{prefix}"));
-        // The folder is there only after an earlier run.
+        // The folder exists only if an earlier run has left it.
         let _ = std::fs::remove_dir_all(&folder);
         std::fs::create_dir_all(&folder).unwrap();
         let seeds: Vec<String> = (0..layout.controls)
@@ -215,18 +216,18 @@
         Self { prefix, folder, controls, entries, paths }
     }
 
-    /// Returns the proxies on all paths from and to an instance.
+    /// Returns the proxies on all network paths from and to an instance.
     pub fn paths_of(&self, ip: &str) -> impl Iterator<Item = &Proxy> {
         let touches = move |(from, to): &(String, String)| from == ip || to == ip;
         self.paths.iter().filter(move |(ends, _)| touches(ends)).map(|(_, proxy)| proxy)
     }
 
-    /// Makes a call to a control instance.
+    /// Sends a request to a control instance.
     pub fn control(&self, place: usize, method: &str, path: &str, body: &str) -> Reply {
         control_call(&self.controls[place].ip, method, path, body, CALL_TIMEOUT)
     }
 
-    /// Asks an entry instance whether it is ready.
+    /// Returns the status of an entry instance's readiness check.
     pub fn ready(&self, place: usize) -> u16 {
         let address = format!("{}:{READY_PORT}", self.entries[place].ip);
         let request =
@@ -241,7 +242,7 @@
     }
 }
 
-/// Makes a call to the control instance at `ip`; an answer of status 0 says that there was none.
+/// Sends a request to the control instance at `ip`; the reply has status 0 if there was none.
 pub fn control_call(ip: &str, method: &str, path: &str, body: &str, timeout: Duration) -> Reply {
     let address = format!("{ip}:{CONTROL_PORT}");
     let length = body.len();
@@ -252,7 +253,8 @@
     call(&address, &request, timeout).unwrap_or_default()
 }
 
-/// Each process reaches others by its own peer port; there a proxy leads to the other's port.
+/// Starts a proxy for each pair of a process and a control instance. A process connects to its own peer
+/// port at the other's address, where the proxy listens and forwards to the other's peer port.
 fn proxies(controls: &[Process], entries: &[Process]) -> BTreeMap<(String, String), Proxy> {
     let mut paths = BTreeMap::new();
     for from in controls.iter().chain(entries) {
--- a/crates/cli/tests/platform/handover.rs
+++ b/crates/cli/tests/platform/handover.rs
@@ -113,7 +113,7 @@
             await_stop(|| times_logged_ms(&deployment.read().unwrap().controls[place], STOPPED));
             more_answered(answers);
             let control = &mut deployment.write().unwrap().controls[place];
-            expect_that!(control.ends_within(PATIENCE).is_some(), eq(true));
+            expect_that!(control.exits_within(PATIENCE).is_some(), eq(true));
             control.start(false);
         }
         more_answered(answers);
--- a/crates/cli/tests/platform/main.rs
+++ b/crates/cli/tests/platform/main.rs
@@ -136,7 +136,7 @@
     network.entries[0].signal("TERM");
     eventually("it says that it is not ready", || network.ready(0) == 503);
     expect_that!(ask(&network, 0, "POST", "/print/1", "key-1", "label").status, eq(200));
-    let status = network.entries[0].ends_within(std::time::Duration::from_secs(8));
+    let status = network.entries[0].exits_within(std::time::Duration::from_secs(8));
     expect_that!(status.map(|status| status.success()), eq(Some(true)));
     expect_that!(ask(&network, 1, "POST", "/print/1", "key-1", "label").status, eq(200));
 }
--- a/crates/cli/tests/soak/endpoint.rs
+++ b/crates/cli/tests/soak/endpoint.rs
@@ -1,7 +1,7 @@
-//! Endpoints that note what they run, and that fail in the ways in which engines fail.
+//! Endpoints that record the requests they run, and that fail as model engines do.
 
 use crate::deployment::{control_call, http};
-use crate::record::{Record, Run};
+use crate::history::{History, Run};
 use lycheehub_standin::proxy::Proxy;
 use rand::rngs::StdRng;
 use rand::{RngCore, SeedableRng};
@@ -12,50 +12,51 @@
 use std::sync::{Arc, Mutex, PoisonError};
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
-/// How long an endpoint works before it answers, at most, in milliseconds.
+/// The longest time that an endpoint works on a request before it replies, in milliseconds.
 const WORK_MAX_MS: u32 = 80;
 /// How often an endpoint announces itself.
 const HEARTBEAT: Duration = Duration::from_millis(600);
 /// How long a control instance may take to answer an announcement.
 const HEARTBEAT_TIMEOUT: Duration = Duration::from_secs(1);
-/// For how long an endpoint wants nothing from an instance that it turns away.
+/// The pause that an endpoint asks for with `Retry-After`.
 const PAUSE: Duration = Duration::from_millis(1_500);
-/// How often an answer without end goes on.
-const DRIP: Duration = Duration::from_millis(20);
-/// How long an endpoint goes on after it was heard that it leaves.
-pub const DRAIN: Duration = Duration::from_secs(2);
+/// The interval between the lines of an endless trailer.
+const TRAILER_INTERVAL: Duration = Duration::from_millis(20);
+/// How long an endpoint still accepts requests after a control instance has acknowledged that it
+/// drains.
+pub const DRAIN_TIME: Duration = Duration::from_secs(2);
 
-/// How an endpoint treats requests, in parts of a hundred.
+/// The percentages of an endpoint's requests that fail in each way.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Faults {
-    /// Answered with a failure after they ran.
+    /// Answered with status 500 after they ran.
     pub failed: u32,
-    /// Turned away, with the word that they did not run.
+    /// Rejected with `Not-Executed` before they run.
     pub rejected: u32,
-    /// Run, and the connection closed without an answer.
-    pub lost: u32,
-    /// Cut in the middle of the answer.
-    pub cut: u32,
-    /// Followed by a second answer.
-    pub doubled: u32,
-    /// Answered after a long time.
-    pub slow: u32,
-    /// Turned away, with the word that nothing more is wanted for a while.
+    /// Run, after which the connection closes without a reply.
+    pub dropped: u32,
+    /// Interrupted in the middle of the reply.
+    pub interrupted: u32,
+    /// Answered twice.
+    pub answered_twice: u32,
+    /// Answered after a delay.
+    pub delayed: u32,
+    /// Rejected with `Not-Executed` and a `Retry-After` that asks for a pause.
     pub paused: u32,
-    /// Answered with a body that is whole, and then a trailer without end.
+    /// Answered with a complete body and an endless trailer.
     pub endless: u32,
 }
 
-/// What an endpoint does at a request.
+/// What an endpoint does with a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Course {
-    Answer,
+enum Behavior {
+    Reply,
     Fail,
     Reject,
-    Lose,
-    Cut,
-    Double,
-    Linger,
+    Drop,
+    Interrupt,
+    ReplyTwice,
+    Delay,
     Pause,
     Endless,
 }
@@ -65,19 +66,19 @@
     pub number: usize,
     pub name: String,
     service: &'static str,
-    /// The way to it.
+    /// The proxy through which instances reach it.
     pub path: Proxy,
     controls: Vec<String>,
     faults: Mutex<Faults>,
-    record: Arc<Record>,
-    random: Mutex<StdRng>,
+    history: Arc<History>,
+    rng: Mutex<StdRng>,
     started_unix_ms: AtomicU64,
     sequence: AtomicU64,
-    is_leaving: AtomicBool,
+    is_draining: AtomicBool,
     is_silent: AtomicBool,
-    is_over: AtomicBool,
-    /// When it was first acknowledged that it leaves.
-    leave_heard: Mutex<Option<Instant>>,
+    is_stopped: AtomicBool,
+    /// When a control instance first acknowledged that it drains.
+    drain_acknowledged: Mutex<Option<Instant>>,
 }
 
 impl Endpoint {
@@ -87,7 +88,7 @@
         service: &'static str,
         ip: &str,
         controls: Vec<String>,
-        record: Arc<Record>,
+        history: Arc<History>,
         seed: u64,
     ) -> Arc<Self> {
         let listener = TcpListener::bind(format!("{ip}:0")).unwrap();
@@ -99,24 +100,24 @@
             path,
             controls,
             faults: Mutex::default(),
-            record,
-            random: Mutex::new(StdRng::seed_from_u64(seed)),
+            history,
+            rng: Mutex::new(StdRng::seed_from_u64(seed)),
             started_unix_ms: AtomicU64::new(unix_ms()),
             sequence: AtomicU64::new(0),
-            is_leaving: AtomicBool::new(false),
+            is_draining: AtomicBool::new(false),
             is_silent: AtomicBool::new(false),
-            is_over: AtomicBool::new(false),
-            leave_heard: Mutex::default(),
+            is_stopped: AtomicBool::new(false),
+            drain_acknowledged: Mutex::default(),
         });
-        let accepting = endpoint.clone();
+        let acceptor = endpoint.clone();
         std::thread::spawn(move || {
             for stream in listener.incoming().flatten() {
-                let endpoint = accepting.clone();
+                let endpoint = acceptor.clone();
                 std::thread::spawn(move || endpoint.serve(stream));
             }
         });
-        let announcing = endpoint.clone();
-        std::thread::spawn(move || announcing.announce_on());
+        let announcer = endpoint.clone();
+        std::thread::spawn(move || announcer.announce_periodically());
         endpoint
     }
 
@@ -124,32 +125,32 @@
         *self.faults.lock().unwrap_or_else(PoisonError::into_inner) = faults;
     }
 
-    /// Stops its announcements, as a crash does, or starts it anew.
+    /// Stops its announcements, as a crash does, or resumes them as a restarted endpoint.
     pub fn set_crashed(&self, is_crashed: bool) {
         if !is_crashed {
             self.started_unix_ms.store(unix_ms(), Ordering::Relaxed);
             self.sequence.store(0, Ordering::Relaxed);
-            *self.leave_heard.lock().unwrap_or_else(PoisonError::into_inner) = None;
+            *self.drain_acknowledged.lock().unwrap_or_else(PoisonError::into_inner) = None;
         }
-        self.record.forget_told(self.number);
+        self.history.forget_notices(self.number);
         self.is_silent.store(is_crashed, Ordering::Relaxed);
     }
 
-    /// Says that it leaves, or comes back as a new one.
-    pub fn set_leaving(&self, is_leaving: bool) {
-        if !is_leaving {
+    /// Announces that it drains, or resumes as a restarted endpoint.
+    pub fn set_draining(&self, is_draining: bool) {
+        if !is_draining {
             self.set_crashed(false);
         }
-        self.is_leaving.store(is_leaving, Ordering::Relaxed);
+        self.is_draining.store(is_draining, Ordering::Relaxed);
     }
 
-    /// Ends its announcements for good.
-    pub fn end(&self) {
-        self.is_over.store(true, Ordering::Relaxed);
+    /// Ends its announcements permanently.
+    pub fn stop_announcing(&self) {
+        self.is_stopped.store(true, Ordering::Relaxed);
     }
 
-    fn announce_on(&self) {
-        while !self.is_over.load(Ordering::Relaxed) {
+    fn announce_periodically(&self) {
+        while !self.is_stopped.load(Ordering::Relaxed) {
             if !self.is_silent.load(Ordering::Relaxed) {
                 self.announce();
             }
@@ -157,97 +158,98 @@
         }
     }
 
-    /// Announces itself to one control instance after the other until one acknowledges it.
+    /// Announces itself to the control instances in turn until one acknowledges it.
     fn announce(&self) {
-        let is_leaving = self.is_leaving.load(Ordering::Relaxed);
+        let is_draining = self.is_draining.load(Ordering::Relaxed);
         let body = serde_json::json!({
             "service": self.service, "address": self.path.address(), "zone": "salto",
-            "version": "v1", "slots": 4, "state": if is_leaving { "draining" } else { "ready" },
+            "version": "v1", "slots": 4, "state": if is_draining { "draining" } else { "ready" },
             "cold_remaining_ms": 0, "sequence": self.sequence.fetch_add(1, Ordering::Relaxed) + 1,
             "born": self.started_unix_ms.load(Ordering::Relaxed),
         });
-        let first = self.pick(self.controls.len() as u32) as usize;
+        let first = self.random_below(self.controls.len() as u32) as usize;
         for turn in 0..self.controls.len() {
             let ip = &self.controls[(first + turn) % self.controls.len()];
             let path = format!("/-/instances/{}", self.name);
             let reply = control_call(ip, "PUT", &path, &body.to_string(), HEARTBEAT_TIMEOUT);
             if reply.status == 200 {
-                if is_leaving {
-                    let mut heard = self.leave_heard.lock().unwrap_or_else(PoisonError::into_inner);
-                    heard.get_or_insert(Instant::now());
+                if is_draining {
+                    let mut acknowledged =
+                        self.drain_acknowledged.lock().unwrap_or_else(PoisonError::into_inner);
+                    acknowledged.get_or_insert(Instant::now());
                 }
                 return;
             }
         }
-        self.record.count("announcements that nobody took");
+        self.history.count("failed announcements");
     }
 
-    fn pick(&self, below: u32) -> u32 {
-        let mut random = self.random.lock().unwrap_or_else(PoisonError::into_inner);
-        random.next_u32() % below.max(1)
+    fn random_below(&self, below: u32) -> u32 {
+        let mut rng = self.rng.lock().unwrap_or_else(PoisonError::into_inner);
+        rng.next_u32() % below.max(1)
     }
 
-    fn course(&self) -> Course {
+    fn behavior(&self) -> Behavior {
         let faults = *self.faults.lock().unwrap_or_else(PoisonError::into_inner);
-        let mut drawn = self.pick(100);
-        let courses = [
-            (faults.failed, Course::Fail),
-            (faults.rejected, Course::Reject),
-            (faults.lost, Course::Lose),
-            (faults.cut, Course::Cut),
-            (faults.doubled, Course::Double),
-            (faults.slow, Course::Linger),
-            (faults.paused, Course::Pause),
-            (faults.endless, Course::Endless),
+        let mut drawn = self.random_below(100);
+        let behaviors = [
+            (faults.failed, Behavior::Fail),
+            (faults.rejected, Behavior::Reject),
+            (faults.dropped, Behavior::Drop),
+            (faults.interrupted, Behavior::Interrupt),
+            (faults.answered_twice, Behavior::ReplyTwice),
+            (faults.delayed, Behavior::Delay),
+            (faults.paused, Behavior::Pause),
+            (faults.endless, Behavior::Endless),
         ];
-        for (share, course) in courses {
+        for (share, behavior) in behaviors {
             if drawn < share {
-                return course;
+                return behavior;
             }
             drawn -= share;
         }
-        Course::Answer
+        Behavior::Reply
     }
 
     fn serve(&self, mut stream: TcpStream) {
         while let Some(request) = Request::read(&mut stream) {
-            let course = self.course();
-            if self.answer(&mut stream, &request, course).is_none() {
+            let behavior = self.behavior();
+            if self.handle(&mut stream, &request, behavior).is_none() {
                 return;
             }
         }
     }
 
-    /// Answers a request; nothing where the connection ends with it.
-    fn answer(&self, stream: &mut TcpStream, request: &Request, course: Course) -> Option<()> {
+    /// Handles a request; `None` if the connection must close.
+    fn handle(&self, stream: &mut TcpStream, request: &Request, behavior: Behavior) -> Option<()> {
         let id = request.field("request-id").unwrap_or_default();
         if request.field("expect-instance").is_some_and(|name| name != self.name) {
             let head = "HTTP/1.1 421 Misdirected Request\r\nContent-Length: 0\r\n\r\n";
             return stream.write_all(head.as_bytes()).ok();
         }
-        self.record.arrived(self.number, &id);
-        if matches!(course, Course::Reject | Course::Pause) {
+        self.history.arrived(self.number, &id);
+        if matches!(behavior, Behavior::Reject | Behavior::Pause) {
             let head = "HTTP/1.1 503 Service Unavailable\r\nNot-Executed: 1\r\n";
-            let pause = match course {
-                Course::Pause => format!("Retry-After: {}\r\n", PAUSE.as_secs_f64()),
+            let pause = match behavior {
+                Behavior::Pause => format!("Retry-After: {}\r\n", PAUSE.as_secs_f64()),
                 _ => String::new(),
             };
             let rest = format!("Request-Id: {id}\r\n{pause}Content-Length: 0\r\n\r\n");
-            if course == Course::Pause {
-                self.record.told(self.number, &id, Some(PAUSE));
+            if behavior == Behavior::Pause {
+                self.history.add_notice(self.number, &id, Some(PAUSE));
             }
             return stream.write_all(format!("{head}{rest}").as_bytes()).ok();
         }
-        self.note_run(&id, request);
-        std::thread::sleep(Duration::from_millis(u64::from(self.pick(WORK_MAX_MS))));
-        match course {
-            Course::Endless => {
-                send_without_end(stream, &id);
+        self.record_run(&id, request);
+        std::thread::sleep(Duration::from_millis(u64::from(self.random_below(WORK_MAX_MS))));
+        match behavior {
+            Behavior::Endless => {
+                send_endless_trailer(stream, &id);
                 return None;
             }
-            Course::Lose => return None,
-            Course::Linger => std::thread::sleep(Duration::from_millis(1_500)),
-            Course::Fail => {
+            Behavior::Drop => return None,
+            Behavior::Delay => std::thread::sleep(Duration::from_millis(1_500)),
+            Behavior::Fail => {
                 let head = "HTTP/1.1 500 Internal Server Error\r\n";
                 let rest = format!("Request-Id: {id}\r\nContent-Length: 0\r\n\r\n");
                 return stream.write_all(format!("{head}{rest}").as_bytes()).ok();
@@ -255,39 +257,40 @@
             _ => {}
         }
         if request.is_stream() {
-            self.stream_events(stream, request, &id, course)?;
+            self.stream_events(stream, request, &id, behavior)?;
         } else {
-            let leaving = self.leaving_field();
-            let answer = plain_answer(&id, &request.body, leaving);
-            if course == Course::Cut {
-                // The reader sees the cut either way.
-                let _ = stream.write_all(&answer.as_bytes()[..answer.len() - 3]);
+            let draining_field = self.draining_field();
+            let reply = plain_reply(&id, &request.body, draining_field);
+            if behavior == Behavior::Interrupt {
+                // A failed write interrupts the reply as well.
+                let _ = stream.write_all(&reply.as_bytes()[..reply.len() - 3]);
                 return None;
             }
-            stream.write_all(answer.as_bytes()).ok()?;
-            if course == Course::Double {
-                stream.write_all(answer.as_bytes()).ok()?;
+            stream.write_all(reply.as_bytes()).ok()?;
+            if behavior == Behavior::ReplyTwice {
+                stream.write_all(reply.as_bytes()).ok()?;
             }
         }
-        if course != Course::Double {
-            self.record.answered(&id);
+        if behavior != Behavior::ReplyTwice {
+            self.history.add_completion(&id);
         }
-        if self.is_leaving.load(Ordering::Relaxed) {
-            self.record.told(self.number, &id, None);
+        if self.is_draining.load(Ordering::Relaxed) {
+            self.history.add_notice(self.number, &id, None);
         }
         Some(())
     }
 
-    /// Returns the header field by which an endpoint that leaves says so in its answers.
-    fn leaving_field(&self) -> &'static str {
-        if self.is_leaving.load(Ordering::Relaxed) { "Server-Leaving: 1\r\n" } else { "" }
+    /// Returns the header field that marks the replies of an endpoint that drains.
+    fn draining_field(&self) -> &'static str {
+        if self.is_draining.load(Ordering::Relaxed) { "Server-Leaving: 1\r\n" } else { "" }
     }
 
-    fn note_run(&self, id: &str, request: &Request) {
+    fn record_run(&self, id: &str, request: &Request) {
         let now = Instant::now();
-        let heard = *self.leave_heard.lock().unwrap_or_else(PoisonError::into_inner);
-        if heard.is_some_and(|heard| now > heard + DRAIN) {
-            self.record.late_after_leave(self.number, id, now);
+        let drain_acknowledged =
+            *self.drain_acknowledged.lock().unwrap_or_else(PoisonError::into_inner);
+        if drain_acknowledged.is_some_and(|acknowledged| now > acknowledged + DRAIN_TIME) {
+            self.history.check_drained(self.number, id, now);
         }
         let run = Run {
             endpoint: self.number,
@@ -299,7 +302,7 @@
             resumed: request.field("last-event-id").is_some(),
             at: now,
         };
-        self.record.ran(id, run);
+        self.history.add_run(id, run);
     }
 
     fn stream_events(
@@ -307,23 +310,25 @@
         stream: &mut TcpStream,
         request: &Request,
         id: &str,
-        course: Course,
+        behavior: Behavior,
     ) -> Option<()> {
         let after = request.field("last-event-id").and_then(|id| id.parse().ok()).unwrap_or(0);
         let head = format!(
             "HTTP/1.1 200 OK\r\nRequest-Id: {id}\r\nResponse-Seal: {}\r\n{}\
              Content-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n",
             seal(id, ""),
-            self.leaving_field(),
+            self.draining_field(),
         );
         stream.write_all(head.as_bytes()).ok()?;
         let last = events_of(id);
-        let cut_at = after + 1 + self.pick(last.saturating_sub(after).max(1));
+        let interrupt_at = after + 1 + self.random_below(last.saturating_sub(after).max(1));
         for number in after + 1..=last {
-            std::thread::sleep(Duration::from_millis(u64::from(self.pick(pause_max_ms(id)))));
+            std::thread::sleep(Duration::from_millis(u64::from(
+                self.random_below(event_pause_max_ms(id)),
+            )));
             let event = http::chunk(&event(id, number));
-            if course == Course::Cut && number == cut_at {
-                // The reader sees the cut either way.
+            if behavior == Behavior::Interrupt && number == interrupt_at {
+                // A failed write interrupts the reply as well.
                 let _ = stream.write_all(&event.as_bytes()[..event.len() / 2]);
                 return None;
             }
@@ -333,7 +338,7 @@
     }
 }
 
-/// A request as an endpoint reads it.
+/// A request as received by an endpoint.
 struct Request {
     method: String,
     path: String,
@@ -342,7 +347,7 @@
 }
 
 impl Request {
-    /// Reads the next one of a connection.
+    /// Reads the next request of a connection.
     fn read(stream: &mut TcpStream) -> Option<Self> {
         let (head, body) = http::read_request(stream)?;
         let mut words = head.split(' ');
@@ -359,33 +364,33 @@
     }
 }
 
-/// Sends an answer of which the trailer goes on until the reader closes.
-fn send_without_end(stream: &mut TcpStream, id: &str) {
+/// Sends a reply whose trailer continues until the peer closes the connection.
+fn send_endless_trailer(stream: &mut TcpStream, id: &str) {
     let head = format!(
         "HTTP/1.1 200 OK\r\nRequest-Id: {id}\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nok\r\n0\r\n"
     );
     let mut sent = stream.write_all(head.as_bytes());
     while sent.is_ok() {
-        std::thread::sleep(DRIP);
+        std::thread::sleep(TRAILER_INTERVAL);
         sent = stream.write_all(b"x: y\r\n");
     }
 }
 
-fn plain_answer(id: &str, body: &str, leaving: &str) -> String {
+fn plain_reply(id: &str, body: &str, draining_field: &str) -> String {
     let text = plain_body(id, body);
     format!(
-        "HTTP/1.1 200 OK\r\nRequest-Id: {id}\r\nResponse-Seal: {}\r\n{leaving}Content-Length: {}\r\n\r\n{text}",
+        "HTTP/1.1 200 OK\r\nRequest-Id: {id}\r\nResponse-Seal: {}\r\n{draining_field}Content-Length: {}\r\n\r\n{text}",
         seal(id, body),
         text.len()
     )
 }
 
-/// Returns the body with which a request is answered.
+/// Returns the expected reply body of a request on a plain route.
 pub fn plain_body(id: &str, body: &str) -> String {
     format!("printed {body} for {id}")
 }
 
-/// Returns an event of a request's stream.
+/// Returns one event of a request's stream.
 pub fn event(id: &str, number: u32) -> String {
     format!("id: {number}\ndata: word {number} for {id}\n\n")
 }
@@ -395,13 +400,13 @@
     u32::from(Sha256::digest(id)[0] % 12) + 1
 }
 
-/// Returns the longest pause before an event of a request's stream, in milliseconds: one stream of
-/// four lasts for seconds.
-fn pause_max_ms(id: &str) -> u32 {
+/// Returns the longest pause before an event of a request's stream, in milliseconds. One stream in
+/// four has long pauses, so that it lasts for seconds.
+fn event_pause_max_ms(id: &str) -> u32 {
     if Sha256::digest(id)[1].is_multiple_of(4) { 400 } else { 15 }
 }
 
-/// Returns what proves that an answer is an endpoint's.
+/// Returns the `Response-Seal`, which proves that a reply belongs to this request.
 pub fn seal(id: &str, body: &str) -> String {
     hex::encode(&Sha256::digest(format!("{id}/{body}"))[..8])
 }
--- a/crates/cli/tests/soak/faults.rs
+++ b/crates/cli/tests/soak/faults.rs
@@ -1,8 +1,8 @@
-//! The faults of a run, drawn by its seed; they overlap and come in series.
+//! The faults of a run, drawn from its seed. Faults may overlap and may follow each other closely.
 
 use crate::deployment::{Deployment, Process};
-use crate::endpoint::{DRAIN, Endpoint, Faults};
-use crate::record::{Record, Scope};
+use crate::endpoint::{DRAIN_TIME, Endpoint, Faults};
+use crate::history::{History, Scope};
 use lycheehub_standin::proxy::Mode;
 use rand::rngs::StdRng;
 use rand::{RngCore, SeedableRng};
@@ -11,18 +11,18 @@
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::{Duration, Instant};
 
-/// The end of a process that is told to stop.
+/// How long a process may take to exit after SIGTERM.
 const STOP_TIMEOUT: Duration = Duration::from_secs(8);
 
-/// What is done to the system.
+/// A fault to inject; the number is the index of the affected process or endpoint.
 #[derive(Clone, Copy, Debug)]
 enum Fault {
     KillControl(usize),
     KillAllControls,
     PauseControl(usize),
-    /// Killed, and started again with an empty disk.
+    /// Killed, and restarted with an empty data folder.
     WipeControl(usize),
-    /// Killed in the middle of a write.
+    /// Killed, and restarted with a torn record at the end of its log.
     TearControl(usize),
     DisturbControl(usize, Mode),
     ResetControl(usize),
@@ -32,30 +32,30 @@
     ReloadEntry(usize),
     DisturbEntry(usize, Mode),
     CrashEndpoint(usize),
-    LeaveEndpoint(usize),
+    DrainEndpoint(usize),
     FailEndpoint(usize, Faults),
     DisturbEndpoint(usize, Mode),
     ResetEndpoint(usize),
 }
 
-/// A fault with when it begins and how long it lasts.
+/// A fault with its start time and duration.
 #[derive(Clone, Copy, Debug)]
-struct Planned {
+struct PlannedFault {
     at: Duration,
-    lasts: Duration,
+    duration: Duration,
     fault: Fault,
 }
 
-/// What faults are done to.
+/// The deployment and the endpoints that faults are injected into.
 pub struct Target {
     pub deployment: Mutex<Deployment>,
     pub endpoints: Vec<Arc<Endpoint>>,
-    pub record: Arc<Record>,
-    /// Control instances and entry instances at which a fault is at work.
+    pub history: Arc<History>,
+    /// Which processes are affected by a fault now: control instances first, then entry instances.
     busy: Vec<AtomicBool>,
     controls: usize,
     entries: usize,
-    /// How many disks may yet be lost.
+    /// How many data folders may still be lost in this run.
     wipes_left: AtomicUsize,
 }
 
@@ -63,23 +63,23 @@
     pub fn new(
         deployment: Deployment,
         endpoints: Vec<Arc<Endpoint>>,
-        record: Arc<Record>,
+        history: Arc<History>,
         losses: usize,
     ) -> Self {
         let (controls, entries) = (deployment.controls.len(), deployment.entries.len());
         let busy = (0..controls + entries).map(|_| AtomicBool::new(false)).collect();
         let wipes_left = AtomicUsize::new(losses);
         let deployment = Mutex::new(deployment);
-        Self { deployment, endpoints, record, busy, controls, entries, wipes_left }
+        Self { deployment, endpoints, history, busy, controls, entries, wipes_left }
     }
 
     pub fn deployment(&self) -> MutexGuard<'_, Deployment> {
         self.deployment.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Does the faults of a seed for about `length`; returns once all are over.
-    pub fn disturb(self: &Arc<Self>, seed: u64, length: Duration) -> String {
-        let plan = plan(seed, length, self.controls, self.entries, self.endpoints.len());
+    /// Injects the faults of a seed for about `run_duration`; returns the plan once all faults are over.
+    pub fn inject_faults(self: &Arc<Self>, seed: u64, run_duration: Duration) -> String {
+        let plan = plan(seed, run_duration, self.controls, self.entries, self.endpoints.len());
         let began = Instant::now();
         let threads: Vec<_> = plan
             .iter()
@@ -88,68 +88,68 @@
                 let target = self.clone();
                 std::thread::spawn(move || {
                     std::thread::sleep(planned.at.saturating_sub(began.elapsed()));
-                    target.act(planned);
+                    target.inject(planned);
                 })
             })
             .collect();
         for thread in threads {
-            thread.join().expect("a fault's thread ends");
+            thread.join().expect("fault threads do not panic");
         }
         let lines = plan.iter().map(|planned| format!("\n  {planned:?}"));
         lines.collect()
     }
 
-    fn act(&self, planned: Planned) {
-        let lasts = planned.lasts;
+    fn inject(&self, planned: PlannedFault) {
+        let duration = planned.duration;
         match planned.fault {
-            Fault::KillAllControls => self.kill_all(lasts),
-            Fault::KillControl(place) => self.restart(place, lasts, |_| {}),
+            Fault::KillAllControls => self.kill_all(duration),
+            Fault::KillControl(place) => self.restart(place, duration, |_| {}),
             Fault::WipeControl(place) => {
-                let left = self.wipes_left.load(Ordering::Relaxed);
-                if left > 0 {
-                    self.wipes_left.store(left - 1, Ordering::Relaxed);
-                    self.restart(place, lasts, wipe);
+                let remaining = self.wipes_left.load(Ordering::Relaxed);
+                if remaining > 0 {
+                    self.wipes_left.store(remaining - 1, Ordering::Relaxed);
+                    self.restart(place, duration, remove_data);
                 }
             }
-            Fault::TearControl(place) => self.restart(place, lasts, tear),
-            Fault::KillEntry(place) => self.restart(self.controls + place, lasts, |_| {}),
-            Fault::PauseControl(place) => self.pause(place, lasts),
-            Fault::PauseEntry(place) => self.pause(self.controls + place, lasts),
+            Fault::TearControl(place) => self.restart(place, duration, append_torn_record),
+            Fault::KillEntry(place) => self.restart(self.controls + place, duration, |_| {}),
+            Fault::PauseControl(place) => self.pause(place, duration),
+            Fault::PauseEntry(place) => self.pause(self.controls + place, duration),
             Fault::StopEntry(place) => self.stop(self.controls + place),
             Fault::ReloadEntry(place) => self.deployment().entries[place].signal("HUP"),
-            Fault::DisturbControl(place, mode) => self.disturb_paths(place, mode, lasts),
+            Fault::DisturbControl(place, mode) => self.disturb_paths(place, mode, duration),
             Fault::DisturbEntry(place, mode) => {
-                self.disturb_paths(self.controls + place, mode, lasts);
+                self.disturb_paths(self.controls + place, mode, duration);
             }
             Fault::ResetControl(place) => self.reset_paths(place),
-            Fault::CrashEndpoint(place) => self.crash_endpoint(place, lasts),
-            Fault::LeaveEndpoint(place) => self.leave_endpoint(place, lasts),
+            Fault::CrashEndpoint(place) => self.crash_endpoint(place, duration),
+            Fault::DrainEndpoint(place) => self.drain_endpoint(place, duration),
             Fault::FailEndpoint(place, faults) => {
                 let endpoint = &self.endpoints[place];
-                self.during(Scope::Endpoint(place), || {
+                self.disturb(Scope::Endpoint(place), || {
                     endpoint.set_faults(faults);
-                    std::thread::sleep(lasts);
+                    std::thread::sleep(duration);
                     endpoint.set_faults(Faults::default());
                 });
             }
             Fault::DisturbEndpoint(place, mode) => {
                 let endpoint = &self.endpoints[place];
-                self.during(Scope::Endpoint(place), || {
+                self.disturb(Scope::Endpoint(place), || {
                     endpoint.path.set_mode(mode);
-                    std::thread::sleep(lasts);
+                    std::thread::sleep(duration);
                     endpoint.path.set_mode(Mode::Open);
                 });
             }
             Fault::ResetEndpoint(place) => {
-                self.during(Scope::Endpoint(place), || self.endpoints[place].path.reset());
+                self.disturb(Scope::Endpoint(place), || self.endpoints[place].path.reset());
             }
         }
     }
 
-    fn during(&self, scope: Scope, act: impl FnOnce()) {
-        self.record.disturbed(scope);
+    fn disturb(&self, scope: Scope, act: impl FnOnce()) {
+        self.history.disturbance_began(scope);
         act();
-        self.record.restored(scope);
+        self.history.disturbance_ended(scope);
     }
 
     fn scope_of(&self, place: usize) -> Scope {
@@ -165,19 +165,19 @@
         }
     }
 
-    /// Acts on a process unless another fault is at work there.
-    fn claim(&self, place: usize, act: impl FnOnce()) {
+    /// Runs a fault on a process unless another fault affects the process.
+    fn run_exclusively(&self, place: usize, act: impl FnOnce()) {
         if self.busy[place].swap(true, Ordering::Relaxed) {
             return;
         }
-        self.during(self.scope_of(place), act);
+        self.disturb(self.scope_of(place), act);
         self.busy[place].store(false, Ordering::Relaxed);
     }
 
-    fn restart(&self, place: usize, lasts: Duration, before_start: impl FnOnce(&Process)) {
-        self.claim(place, || {
+    fn restart(&self, place: usize, duration: Duration, before_start: impl FnOnce(&Process)) {
+        self.run_exclusively(place, || {
             self.with_process(place, Process::kill);
-            std::thread::sleep(lasts);
+            std::thread::sleep(duration);
             self.with_process(place, |process| {
                 before_start(process);
                 process.start(false);
@@ -185,40 +185,42 @@
         });
     }
 
-    fn kill_all(&self, lasts: Duration) {
+    fn kill_all(&self, duration: Duration) {
         let claimed: Vec<usize> = (0..self.controls)
             .filter(|place| !self.busy[*place].swap(true, Ordering::Relaxed))
             .collect();
-        self.during(Scope::Control, || {
+        self.disturb(Scope::Control, || {
             claimed.iter().for_each(|place| self.with_process(*place, Process::kill));
-            std::thread::sleep(lasts);
+            std::thread::sleep(duration);
             let start = |process: &mut Process| process.start(false);
             claimed.iter().for_each(|place| self.with_process(*place, start));
         });
         claimed.iter().for_each(|place| self.busy[*place].store(false, Ordering::Relaxed));
     }
 
-    fn pause(&self, place: usize, lasts: Duration) {
-        self.claim(place, || {
+    fn pause(&self, place: usize, duration: Duration) {
+        self.run_exclusively(place, || {
             self.with_process(place, |process| process.signal("STOP"));
-            std::thread::sleep(lasts);
+            std::thread::sleep(duration);
             self.with_process(place, |process| process.signal("CONT"));
         });
     }
 
-    /// Stops an entry instance as the platform does, and starts it again. Until its end all
-    /// promises hold.
+    /// Stops an entry instance as the platform does, and restarts it. All guarantees hold until the
+    /// process exits, so the disturbance begins only then.
     fn stop(&self, place: usize) {
         if self.busy[place].swap(true, Ordering::Relaxed) {
             return;
         }
         let from = Instant::now();
         self.with_process(place, |process| process.signal("TERM"));
-        if !self.ends(place) {
-            self.record.finding(format!("entry {place} did not stop in {STOP_TIMEOUT:?}"));
+        if !self.exits_in_time(place) {
+            self.history.add_violation(format!(
+                "entry instance {place} did not exit within {STOP_TIMEOUT:?} after SIGTERM"
+            ));
         }
-        self.during(self.scope_of(place), || {
-            self.record.stopped(place - self.controls, from);
+        self.disturb(self.scope_of(place), || {
+            self.history.add_stop(place - self.controls, from);
             self.with_process(place, |process| {
                 process.kill();
                 process.start(false);
@@ -227,10 +229,10 @@
         self.busy[place].store(false, Ordering::Relaxed);
     }
 
-    fn ends(&self, place: usize) -> bool {
+    fn exits_in_time(&self, place: usize) -> bool {
         let began = Instant::now();
         while began.elapsed() < STOP_TIMEOUT {
-            if self.with_process(place, Process::has_ended) {
+            if self.with_process(place, Process::has_exited) {
                 return true;
             }
             std::thread::sleep(Duration::from_millis(50));
@@ -238,55 +240,55 @@
         false
     }
 
-    fn disturb_paths(&self, place: usize, mode: Mode, lasts: Duration) {
+    fn disturb_paths(&self, place: usize, mode: Mode, duration: Duration) {
         let ip = self.with_process(place, |process| process.ip.clone());
         let set = |mode| self.deployment().paths_of(&ip).for_each(|path| path.set_mode(mode));
-        self.claim(place, || {
+        self.run_exclusively(place, || {
             set(mode);
-            std::thread::sleep(lasts);
+            std::thread::sleep(duration);
             set(Mode::Open);
         });
     }
 
     fn reset_paths(&self, place: usize) {
         let ip = self.with_process(place, |process| process.ip.clone());
-        self.claim(place, || {
+        self.run_exclusively(place, || {
             self.deployment().paths_of(&ip).for_each(lycheehub_standin::proxy::Proxy::reset);
         });
     }
 
-    fn crash_endpoint(&self, place: usize, lasts: Duration) {
+    fn crash_endpoint(&self, place: usize, duration: Duration) {
         let endpoint = &self.endpoints[place];
-        self.during(Scope::Endpoint(place), || {
+        self.disturb(Scope::Endpoint(place), || {
             endpoint.set_crashed(true);
             endpoint.path.set_mode(Mode::Refused);
             endpoint.path.reset();
-            std::thread::sleep(lasts);
+            std::thread::sleep(duration);
             endpoint.path.set_mode(Mode::Open);
             endpoint.set_crashed(false);
         });
     }
 
-    fn leave_endpoint(&self, place: usize, lasts: Duration) {
+    fn drain_endpoint(&self, place: usize, duration: Duration) {
         let endpoint = &self.endpoints[place];
-        endpoint.set_leaving(true);
-        std::thread::sleep(DRAIN + lasts);
-        endpoint.set_leaving(false);
+        endpoint.set_draining(true);
+        std::thread::sleep(DRAIN_TIME + duration);
+        endpoint.set_draining(false);
     }
 }
 
-fn wipe(process: &Process) {
-    std::fs::remove_dir_all(process.data()).expect("the data folder is there");
+fn remove_data(process: &Process) {
+    std::fs::remove_dir_all(process.data()).expect("the data folder can be removed");
 }
 
-/// Leaves the begin of a record at the end of the log, as a write does that was interrupted.
-fn tear(process: &Process) {
-    // A record's header and a part of its content.
-    const BEGIN_BYTES: usize = 20;
+/// Appends an incomplete record to the log, as an interrupted write does.
+fn append_torn_record(process: &Process) {
+    // The header of a record and a part of its content.
+    const TORN_BYTES: usize = 20;
     let path = process.data().join("log");
-    // It is not there where its disk was lost just before.
+    // The log is missing if the data folder was wiped just before.
     let Ok(mut bytes) = std::fs::read(&path) else { return };
-    bytes.truncate(BEGIN_BYTES);
+    bytes.truncate(TORN_BYTES);
     let file = std::fs::File::options().append(true).open(path);
     let written = file.and_then(|mut file| file.write_all(&bytes));
     written.expect("the log can be written");
@@ -295,32 +297,32 @@
 /// Draws the faults of a seed.
 fn plan(
     seed: u64,
-    length: Duration,
+    run_duration: Duration,
     controls: usize,
     entries: usize,
     endpoints: usize,
-) -> Vec<Planned> {
+) -> Vec<PlannedFault> {
     const MEAN_GAP_MS: u64 = 900;
-    let mut random = StdRng::seed_from_u64(seed);
-    let mut pick = |below: usize| (random.next_u64() % below.max(1) as u64) as usize;
+    let mut rng = StdRng::seed_from_u64(seed);
+    let mut random_below = |below: usize| (rng.next_u64() % below.max(1) as u64) as usize;
     let mut planned = Vec::new();
-    let mut at_ms = pick(500) as u64;
-    while u128::from(at_ms) < length.as_millis() {
-        let (control, entry) = (pick(controls), pick(entries));
-        let endpoint = pick(endpoints);
+    let mut at_ms = random_below(500) as u64;
+    while u128::from(at_ms) < run_duration.as_millis() {
+        let (control, entry) = (random_below(controls), random_below(entries));
+        let endpoint = random_below(endpoints);
         let modes =
             [Mode::Silent, Mode::SilentForth, Mode::SilentBack, Mode::Delayed(50), Mode::Refused];
-        let mode = modes[pick(modes.len())];
-        let share = 10 + pick(50) as u32;
+        let mode = modes[random_below(modes.len())];
+        let share = 10 + random_below(50) as u32;
         let faults = [
             Faults { failed: share, ..Faults::default() },
             Faults { rejected: share, ..Faults::default() },
-            Faults { lost: share, ..Faults::default() },
-            Faults { cut: share, ..Faults::default() },
-            Faults { doubled: share, ..Faults::default() },
-            Faults { slow: share, ..Faults::default() },
+            Faults { dropped: share, ..Faults::default() },
+            Faults { interrupted: share, ..Faults::default() },
+            Faults { answered_twice: share, ..Faults::default() },
+            Faults { delayed: share, ..Faults::default() },
         ];
-        let fault = match pick(24) {
+        let fault = match random_below(24) {
             0 => Fault::KillControl(control),
             1 => Fault::KillAllControls,
             2 => Fault::PauseControl(control),
@@ -334,42 +336,44 @@
             11 => Fault::ReloadEntry(entry),
             12 => Fault::DisturbEntry(entry, mode),
             13 | 14 => Fault::CrashEndpoint(endpoint),
-            15 => Fault::LeaveEndpoint(endpoint),
-            16 | 17 => Fault::FailEndpoint(endpoint, faults[pick(faults.len())]),
+            15 => Fault::DrainEndpoint(endpoint),
+            16 | 17 => Fault::FailEndpoint(endpoint, faults[random_below(faults.len())]),
             18 => Fault::DisturbEndpoint(endpoint, mode),
-            19 | 20 => Fault::FailEndpoint(endpoint, Faults { lost: share, ..Faults::default() }),
+            19 | 20 => {
+                Fault::FailEndpoint(endpoint, Faults { dropped: share, ..Faults::default() })
+            }
             21 | 22 => Fault::StopEntry(entry),
             _ => Fault::ResetEndpoint(endpoint),
         };
-        let lasts = Duration::from_millis(200 + pick(2_800) as u64);
-        planned.push(Planned { at: Duration::from_millis(at_ms), lasts, fault });
-        // Short gaps make series of faults that overlap.
-        at_ms += (pick(2 * MEAN_GAP_MS as usize)) as u64;
+        let duration = Duration::from_millis(200 + random_below(2_800) as u64);
+        planned.push(PlannedFault { at: Duration::from_millis(at_ms), duration, fault });
+        // Gaps shorter than the faults make the faults overlap.
+        at_ms += (random_below(2 * MEAN_GAP_MS as usize)) as u64;
     }
-    planned.extend(plan_words(seed, length, endpoints));
+    planned.extend(plan_notices(seed, run_duration, endpoints));
     planned
 }
 
-/// Draws when endpoints ask for pauses, leave, or answer without end: apart from the other faults, so that
-/// a seed keeps those that it had before.
-fn plan_words(seed: u64, length: Duration, endpoints: usize) -> Vec<Planned> {
+/// Draws the faults in which endpoints ask for pauses, drain, or send endless trailers. They have a
+/// random generator of their own, so that a seed still gives the same faults in [`plan`].
+fn plan_notices(seed: u64, run_duration: Duration, endpoints: usize) -> Vec<PlannedFault> {
     const SALT: u64 = 0x5eed;
     const MEAN_GAP_MS: u64 = 2_500;
-    let mut random = StdRng::seed_from_u64(seed ^ SALT);
-    let mut pick = |below: u64| random.next_u64() % below.max(1);
+    let mut rng = StdRng::seed_from_u64(seed ^ SALT);
+    let mut random_below = |below: u64| rng.next_u64() % below.max(1);
     let mut planned = Vec::new();
-    let mut at_ms = pick(MEAN_GAP_MS);
-    while u128::from(at_ms) < length.as_millis() {
-        let endpoint = pick(endpoints as u64) as usize;
-        let share = 10 + pick(50) as u32;
-        let fault = match pick(3) {
-            0 => Fault::LeaveEndpoint(endpoint),
+    let mut at_ms = random_below(MEAN_GAP_MS);
+    while u128::from(at_ms) < run_duration.as_millis() {
+        let endpoint = random_below(endpoints as u64) as usize;
+        let share = 10 + random_below(50) as u32;
+        let fault = match random_below(3) {
+            0 => Fault::DrainEndpoint(endpoint),
             1 => Fault::FailEndpoint(endpoint, Faults { paused: share, ..Faults::default() }),
             _ => Fault::FailEndpoint(endpoint, Faults { endless: share, ..Faults::default() }),
         };
-        let lasts = Duration::from_millis(200 + pick(2_800));
-        planned.push(Planned { at: Duration::from_millis(at_ms), lasts, fault });
-        at_ms += pick(2 * MEAN_GAP_MS);
+        let duration = Duration::from_millis(200 + random_below(2_800));
+        planned.push(PlannedFault { at: Duration::from_millis(at_ms), duration, fault });
+        at_ms += random_below(2 * MEAN_GAP_MS);
     }
     planned
 }
--- /dev/null
+++ b/crates/cli/tests/soak/history.rs
@@ -0,0 +1,385 @@
+//! The history of a run as callers, endpoints and the operator observe it, and the checks that
+//! find violated guarantees in it.
+
+use crate::endpoint::DRAIN_TIME;
+use std::collections::{BTreeMap, BTreeSet};
+use std::sync::{Mutex, MutexGuard, PoisonError};
+use std::time::{Duration, Instant};
+
+/// How long an instance must have been undisturbed before guarantees with a time bound apply to it.
+pub const SETTLE_TIME: Duration = Duration::from_secs(3);
+/// How long a request may run on after its caller has disconnected.
+const DISCONNECT_SLACK: Duration = Duration::from_millis(500);
+/// How many requests may run on for longer than that.
+const RUN_ON_MAX: usize = 3;
+/// How long after an endpoint's notice requests that are already in flight may reach it.
+const IN_FLIGHT_SLACK: Duration = Duration::from_millis(500);
+/// How many requests may reach an endpoint during a pause that it has asked for.
+const PAUSE_ARRIVALS_MAX: usize = 2;
+/// How many replies that an endpoint has sent in full may be interrupted before the caller has them.
+const LOST_REPLIES_MAX: usize = 3;
+
+/// The number of overdue requests that is a violation, if it is also more than a quarter of the
+/// requests that reach their timeout.
+const OVERDUE_MIN: usize = 8;
+
+/// The kind of a request's route, which decides whether the request may run more than once.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum Kind {
+    Safe,
+    Unsafe,
+    Stream,
+    ResumableStream,
+}
+
+impl Kind {
+    pub fn is_idempotent(self) -> bool {
+        matches!(self, Self::Safe | Self::ResumableStream)
+    }
+
+    pub fn is_stream(self) -> bool {
+        matches!(self, Self::Stream | Self::ResumableStream)
+    }
+}
+
+/// The part of the deployment that a fault disturbs.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum Scope {
+    Entry(usize),
+    Endpoint(usize),
+    /// Control instances, or the network paths between them.
+    Control,
+}
+
+/// A request as its caller sent it.
+#[derive(Clone, Debug)]
+pub struct SentRequest {
+    pub kind: Kind,
+    pub entry: usize,
+    pub method: &'static str,
+    pub path: String,
+    pub body: String,
+    pub at: Instant,
+}
+
+/// A request as an endpoint ran it.
+#[derive(Clone, Debug)]
+pub struct Run {
+    pub endpoint: usize,
+    pub method: String,
+    pub path: String,
+    pub body: String,
+    pub account: Option<String>,
+    pub has_key: bool,
+    pub resumed: bool,
+    pub at: Instant,
+}
+
+/// A notice that an endpoint has sent to an entry instance in a reply.
+#[derive(Clone, Copy, Debug)]
+struct Notice {
+    endpoint: usize,
+    entry: usize,
+    at: Instant,
+    /// How long the endpoint accepts no requests; `None` if it is shutting down.
+    pause: Option<Duration>,
+    /// How many requests have reached the endpoint in spite of the notice.
+    arrivals: usize,
+}
+
+#[derive(Default)]
+struct Inner {
+    notices: Vec<Notice>,
+    sent: BTreeMap<String, SentRequest>,
+    runs: BTreeMap<String, Vec<Run>>,
+    /// The status of each request that was refused, which guarantees that it never runs.
+    refused: BTreeMap<String, u16>,
+    /// When callers disconnected without waiting for the reply.
+    disconnected: BTreeMap<String, Instant>,
+    /// When connections closed before the complete reply.
+    interrupted: BTreeMap<String, Instant>,
+    /// When endpoints had sent their complete reply.
+    completed: BTreeMap<String, Instant>,
+    disturbances: Vec<(Scope, Instant, Option<Instant>)>,
+    /// The planned stops of entry instances, each from its signal to its exit.
+    stops: Vec<(usize, Instant, Instant)>,
+    violations: BTreeSet<String>,
+    counts: BTreeMap<&'static str, u64>,
+    /// Requests without a complete reply at their route's timeout.
+    overdue: usize,
+    /// Those of them that are still without one after the caller's slack of half a second.
+    overdue_late: usize,
+}
+
+impl Inner {
+    /// Tells whether a fault disturbed `scope` at any time from `from` to `to`.
+    fn is_disturbed(&self, scope: Scope, from: Instant, to: Instant) -> bool {
+        self.disturbances.iter().any(|(other, begin, end)| {
+            *other == scope && *begin <= to && end.is_none_or(|end| end >= from)
+        })
+    }
+
+    fn is_settled(&self, entry: usize, from: Instant, to: Instant) -> bool {
+        let from = from.checked_sub(SETTLE_TIME).unwrap_or(from);
+        !self.is_disturbed(Scope::Entry(entry), from, to)
+            && !self.is_disturbed(Scope::Control, from, to)
+    }
+}
+
+/// Everything observed during a run; shared by all threads.
+#[derive(Default)]
+pub struct History {
+    inner: Mutex<Inner>,
+}
+
+impl History {
+    fn inner(&self) -> MutexGuard<'_, Inner> {
+        self.inner.lock().unwrap_or_else(PoisonError::into_inner)
+    }
+
+    /// Records a violated guarantee.
+    pub fn add_violation(&self, text: String) {
+        self.inner().violations.insert(text);
+    }
+
+    pub fn count(&self, what: &'static str) {
+        *self.inner().counts.entry(what).or_default() += 1;
+    }
+
+    pub fn add_sent(&self, id: &str, sent: SentRequest) {
+        self.inner().sent.insert(id.to_owned(), sent);
+    }
+
+    pub fn add_run(&self, id: &str, run: Run) {
+        self.inner().runs.entry(id.to_owned()).or_default().push(run);
+    }
+
+    pub fn add_refusal(&self, id: &str, status: u16) {
+        self.inner().refused.insert(id.to_owned(), status);
+    }
+
+    pub fn add_disconnect(&self, id: &str) {
+        self.inner().disconnected.insert(id.to_owned(), Instant::now());
+    }
+
+    pub fn add_interruption(&self, id: &str) {
+        self.inner().interrupted.insert(id.to_owned(), Instant::now());
+    }
+
+    pub fn add_completion(&self, id: &str) {
+        self.inner().completed.insert(id.to_owned(), Instant::now());
+    }
+
+    /// Records a notice in the reply to a request: the endpoint shuts down, or accepts no requests
+    /// during `pause`.
+    pub fn add_notice(&self, endpoint: usize, id: &str, pause: Option<Duration>) {
+        let mut inner = self.inner();
+        let Some(entry) = inner.sent.get(id).map(|sent| sent.entry) else { return };
+        inner.notices.push(Notice { endpoint, entry, at: Instant::now(), pause, arrivals: 0 });
+    }
+
+    /// Forgets an endpoint's notices once the endpoint has restarted.
+    pub fn forget_notices(&self, endpoint: usize) {
+        self.inner().notices.retain(|notice| notice.endpoint != endpoint);
+    }
+
+    /// Checks the arrival of a request at an endpoint against the notices of that endpoint.
+    pub fn arrived(&self, endpoint: usize, id: &str) {
+        let now = Instant::now();
+        let mut inner = self.inner();
+        let Some((entry, sent_at)) = inner.sent.get(id).map(|sent| (sent.entry, sent.at)) else {
+            return;
+        };
+        let mut notices = std::mem::take(&mut inner.notices);
+        for notice in notices.iter_mut().filter(|n| (n.endpoint, n.entry) == (endpoint, entry)) {
+            let is_late = match notice.pause {
+                Some(pause) => now > notice.at + IN_FLIGHT_SLACK && now < notice.at + pause,
+                None => sent_at > notice.at + DRAIN_TIME,
+            };
+            if !is_late || inner.is_disturbed(Scope::Entry(entry), notice.at, now) {
+                continue;
+            }
+            notice.arrivals += 1;
+            if notice.pause.is_none() || notice.arrivals > PAUSE_ARRIVALS_MAX {
+                let notice_text = notice.pause.map_or("its shutdown notice".to_owned(), |p| {
+                    format!("its pause notice of {p:?}")
+                });
+                inner
+                    .violations
+                    .insert(format!("{id}: reached endpoint {endpoint} after {notice_text}"));
+            }
+        }
+        inner.notices = notices;
+    }
+
+    /// Records a violation if an undisturbed entry instance sent this request to an endpoint whose
+    /// drain time was over.
+    pub fn check_drained(&self, endpoint: usize, id: &str, at: Instant) {
+        let mut inner = self.inner();
+        let Some(sent) = inner.sent.get(id) else { return };
+        let is_settled = inner.is_settled(sent.entry, sent.at, at);
+        if is_settled && !inner.is_disturbed(Scope::Endpoint(endpoint), sent.at, at) {
+            inner
+                .violations
+                .insert(format!("DRAIN: {id} reached endpoint {endpoint} after its drain time"));
+        }
+    }
+
+    /// Records the start of a disturbance; `disturbance_ended` records its end.
+    pub fn disturbance_began(&self, scope: Scope) {
+        self.inner().disturbances.push((scope, Instant::now(), None));
+    }
+
+    pub fn disturbance_ended(&self, scope: Scope) {
+        let mut inner = self.inner();
+        let open =
+            inner.disturbances.iter_mut().find(|(other, _, end)| *other == scope && end.is_none());
+        if let Some((_, _, end)) = open {
+            *end = Some(Instant::now());
+        }
+    }
+
+    /// Records a planned stop of an entry instance that began at `from` and ends now.
+    pub fn add_stop(&self, entry: usize, from: Instant) {
+        self.inner().stops.push((entry, from, Instant::now()));
+    }
+
+    /// Tells whether guarantees with a time bound have applied to an entry instance since `from`.
+    pub fn is_settled(&self, entry: usize, from: Instant) -> bool {
+        self.inner().is_settled(entry, from, Instant::now())
+    }
+
+    /// Records a request without a complete reply at its route's timeout; `is_late` if the reply was
+    /// still missing after the caller's slack.
+    pub fn add_overdue(&self, is_late: bool) {
+        let mut inner = self.inner();
+        inner.overdue += 1;
+        inner.overdue_late += usize::from(is_late);
+    }
+
+    /// Returns the counts as text for the test's output.
+    pub fn summary(&self) -> String {
+        let inner = self.inner();
+        let counts = inner.counts.iter().map(|(what, count)| format!("{what} {count}"));
+        counts.collect::<Vec<_>>().join(", ")
+    }
+
+    /// Checks the whole history; returns each violated guarantee with its evidence.
+    pub fn check(&self) -> Vec<String> {
+        let inner = self.inner();
+        let mut violations: Vec<String> = inner.violations.iter().cloned().collect();
+        for (id, runs) in &inner.runs {
+            check_runs(&inner, id, runs, &mut violations);
+        }
+        if inner.overdue_late >= OVERDUE_MIN && inner.overdue_late * 4 > inner.overdue {
+            let (late, all) = (inner.overdue_late, inner.overdue);
+            violations.push(format!("CONFIG: {late} of {all} without a reply after their timeout"));
+        }
+        let started = started_after_disconnect(&inner);
+        if started.len() > RUN_ON_MAX {
+            violations
+                .push(format!("GONE: started long after their callers disconnected: {started:?}"));
+        }
+        let completed = completed_after_disconnect(&inner);
+        if completed.len() > RUN_ON_MAX {
+            violations.push(format!(
+                "GONE: completed long after their callers disconnected: {completed:?}"
+            ));
+        }
+        let interrupted = interrupted_by_stops(&inner);
+        if !interrupted.is_empty() {
+            violations.push(format!("LOST: interrupted by planned stops: {interrupted:?}"));
+        }
+        let lost = lost_replies(&inner);
+        if lost.len() > LOST_REPLIES_MAX {
+            violations
+                .push(format!("LOST: interrupted though their endpoints had replied: {lost:?}"));
+        }
+        violations
+    }
+}
+
+fn check_runs(inner: &Inner, id: &str, runs: &[Run], violations: &mut Vec<String>) {
+    let Some(sent) = inner.sent.get(id) else {
+        violations.push(format!("UNASKED: {id} was never sent: {runs:?}"));
+        return;
+    };
+    for run in runs {
+        let same = run.method == sent.method && run.path == sent.path && run.body == sent.body;
+        if !same {
+            violations.push(format!("UNASKED: {id} sent as {sent:?}, run as {run:?}"));
+        }
+        if run.account.as_deref() != Some("packhouse") || run.has_key {
+            violations.push(format!(
+                "UNASKED: {id} ran with the wrong account, or with the API key: {run:?}"
+            ));
+        }
+        if run.resumed && sent.kind != Kind::ResumableStream {
+            violations.push(format!("ORDER: {id} was resumed: {run:?}"));
+        }
+    }
+    if sent.kind.is_idempotent() {
+        return;
+    }
+    if runs.len() > 1 {
+        violations.push(format!("TWICE: {id} {:?}: {runs:?}", sent.kind));
+    }
+    if let Some(status) = inner.refused.get(id) {
+        violations.push(format!("REFUSED: {id} was refused with {status} but ran: {runs:?}"));
+    }
+}
+
+/// Returns the requests that reached an endpoint long after their callers had disconnected.
+fn started_after_disconnect(inner: &Inner) -> Vec<&String> {
+    let is_late = |(id, disconnected): &(&String, &Instant)| {
+        let Some(sent) = inner.sent.get(*id) else { return false };
+        let runs = inner.runs.get(*id).into_iter().flatten();
+        runs.filter(|run| run.at > **disconnected + DISCONNECT_SLACK)
+            .any(|run| inner.is_settled(sent.entry, sent.at, run.at))
+    };
+    inner.disconnected.iter().filter(is_late).map(|(id, _)| id).collect()
+}
+
+/// Returns the requests that endpoints completed long after their callers had disconnected.
+fn completed_after_disconnect(inner: &Inner) -> Vec<&String> {
+    let is_late = |(id, disconnected): &(&String, &Instant)| {
+        let (Some(sent), Some(completed)) = (inner.sent.get(*id), inner.completed.get(*id)) else {
+            return false;
+        };
+        *completed > **disconnected + DISCONNECT_SLACK
+            && inner.is_settled(sent.entry, sent.at, *completed)
+    };
+    inner.disconnected.iter().filter(is_late).map(|(id, _)| id).collect()
+}
+
+/// Returns the requests that ran at undisturbed endpoints and were interrupted by a planned stop.
+fn interrupted_by_stops(inner: &Inner) -> Vec<&String> {
+    let is_interrupted = |(id, interrupted): &(&String, &Instant)| {
+        let (Some(sent), Some(runs)) = (inner.sent.get(*id), inner.runs.get(*id)) else {
+            return false;
+        };
+        let by_stop = inner.stops.iter().any(|(entry, from, to)| {
+            *entry == sent.entry && sent.at <= *to && (*from..=*to).contains(*interrupted)
+        });
+        let undisturbed =
+            |run: &Run| !inner.is_disturbed(Scope::Endpoint(run.endpoint), sent.at, **interrupted);
+        by_stop && runs.iter().all(undisturbed)
+    };
+    inner.interrupted.iter().filter(is_interrupted).map(|(id, _)| id).collect()
+}
+
+/// Returns the requests that were interrupted though an undisturbed endpoint had sent its complete
+/// reply.
+fn lost_replies(inner: &Inner) -> Vec<&String> {
+    let is_lost = |(id, interrupted): &(&String, &Instant)| {
+        let (Some(sent), Some(runs)) = (inner.sent.get(*id), inner.runs.get(*id)) else {
+            return false;
+        };
+        let undisturbed =
+            |run: &Run| !inner.is_disturbed(Scope::Endpoint(run.endpoint), sent.at, **interrupted);
+        inner.completed.contains_key(*id)
+            && runs.iter().all(undisturbed)
+            && inner.is_settled(sent.entry, sent.at, **interrupted)
+    };
+    inner.interrupted.iter().filter(is_lost).map(|(id, _)| id).collect()
+}
--- a/crates/cli/tests/soak/operator.rs
+++ b/crates/cli/tests/soak/operator.rs
@@ -1,9 +1,9 @@
-//! The operator: changes the document in uneven steps, sends again what got no clear answer, and
-//! reads back.
+//! The operator: submits documents with increasing versions, retries a submission until its outcome
+//! is known, and reads the document back.
 
 use crate::caller::{KEY, PLAIN_TIMEOUT_MS, STREAM_TIMEOUT_MS};
 use crate::deployment::{Reply, control_call};
-use crate::record::Record;
+use crate::history::History;
 use rand::rngs::StdRng;
 use rand::{RngCore, SeedableRng};
 use serde_json::{Value, json};
@@ -12,123 +12,131 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::time::{Duration, Instant};
 
-/// How long a call may take.
+/// How long a call to a control instance may take.
 const CALL_TIMEOUT: Duration = Duration::from_secs(1);
-/// How long the operator waits before the same is sent again.
-const AGAIN: Duration = Duration::from_millis(100);
+/// How long the operator waits before it repeats a call.
+const RETRY_DELAY: Duration = Duration::from_millis(100);
 
-/// The operator with what was acknowledged.
+/// An operator, with the documents that it has submitted.
 pub struct Operator {
     controls: Vec<String>,
-    record: Arc<Record>,
-    random: StdRng,
-    /// What was sent, by version.
-    sent: BTreeMap<u64, Value>,
+    history: Arc<History>,
+    rng: StdRng,
+    /// The submitted documents, by version.
+    submitted: BTreeMap<u64, Value>,
+    /// The highest version that was acknowledged.
     acknowledged: u64,
 }
 
 impl Operator {
-    pub fn new(controls: Vec<String>, record: Arc<Record>, seed: u64) -> Self {
-        let random = StdRng::seed_from_u64(seed);
-        Self { controls, record, random, sent: BTreeMap::new(), acknowledged: 0 }
+    pub fn new(controls: Vec<String>, history: Arc<History>, seed: u64) -> Self {
+        let rng = StdRng::seed_from_u64(seed);
+        Self { controls, history, rng, submitted: BTreeMap::new(), acknowledged: 0 }
     }
 
-    fn pick(&mut self, below: u32) -> u32 {
-        self.random.next_u32() % below.max(1)
+    fn random_below(&mut self, below: u32) -> u32 {
+        self.rng.next_u32() % below.max(1)
     }
 
     fn call(&mut self, method: &str, body: &str) -> Reply {
-        let place = self.pick(self.controls.len() as u32) as usize;
+        let place = self.random_below(self.controls.len() as u32) as usize;
         control_call(&self.controls[place], method, "/-/config", body, CALL_TIMEOUT)
     }
 
-    /// Changes and reads until it is told to stop; each change is sent until it is acknowledged.
-    pub fn run(mut self, is_over: &AtomicBool) -> Self {
-        while !is_over.load(Ordering::Relaxed) {
-            match self.pick(3) {
-                0 => self.change(is_over),
-                1 => self.send_invalid(),
+    /// Submits valid and invalid documents and reads back until `is_stopped` is set.
+    pub fn run(mut self, is_stopped: &AtomicBool) -> Self {
+        while !is_stopped.load(Ordering::Relaxed) {
+            match self.random_below(3) {
+                0 => self.apply_next_version(is_stopped),
+                1 => self.submit_invalid(),
                 _ => {
                     self.read_back();
                 }
             }
-            let pause_ms = 50 + self.pick(250);
+            let pause_ms = 50 + self.random_below(250);
             std::thread::sleep(Duration::from_millis(u64::from(pause_ms)));
         }
         self
     }
 
-    /// Sends a new document until it is acknowledged, or time is over.
-    pub fn change(&mut self, is_over: &AtomicBool) {
-        let last = self.sent.keys().next_back().copied().unwrap_or(0);
-        let version = last + 1 + u64::from(self.pick(3));
-        self.sent.insert(version, document(version));
-        let body = self.sent[&version].to_string();
-        while !is_over.load(Ordering::Relaxed) {
+    /// Submits the next version until it is acknowledged or refused, or `is_stopped` is set.
+    pub fn apply_next_version(&mut self, is_stopped: &AtomicBool) {
+        let last = self.submitted.keys().next_back().copied().unwrap_or(0);
+        let version = last + 1 + u64::from(self.random_below(3));
+        self.submitted.insert(version, document(version));
+        let body = self.submitted[&version].to_string();
+        while !is_stopped.load(Ordering::Relaxed) {
             let reply = self.call("PUT", &body);
             match reply.status {
                 200 => {
                     self.acknowledged = self.acknowledged.max(version);
-                    self.record.count("changes acknowledged");
+                    self.history.count("changes acknowledged");
                     return;
                 }
                 400..=499 => {
-                    self.record.finding(format!("CONFIG: version {version} refused: {reply:?}"));
+                    self.history.add_violation(format!(
+                        "CONFIG: valid version {version} was refused: {reply:?}"
+                    ));
                     return;
                 }
-                _ => std::thread::sleep(AGAIN),
+                _ => std::thread::sleep(RETRY_DELAY),
             }
         }
     }
 
-    fn send_invalid(&mut self) {
+    fn submit_invalid(&mut self) {
         let mut invalid = document(1_000_000);
         invalid["routes"][0]["timeout_ms"] = json!(0);
         let reply = self.call("PUT", &invalid.to_string());
         if reply.status == 200 {
-            self.record.finding("CONFIG: an invalid document was acknowledged".to_owned());
+            self.history.add_violation("CONFIG: an invalid document was acknowledged".to_owned());
         }
     }
 
-    /// Reads back; tells whether anything was read.
+    /// Reads the document back and checks it; tells whether there was a reply.
     fn read_back(&mut self) -> bool {
         let acknowledged = self.acknowledged;
         let reply = self.call("GET", "");
         if reply.status != 200 {
-            self.record.count("reads without an answer");
+            self.history.count("failed reads");
             return false;
         }
-        self.record.count("reads");
+        self.history.count("reads");
         let read: Value = serde_json::from_str(&reply.body).unwrap_or_default();
         let version = read["version"].as_u64().unwrap_or(0);
         if version < acknowledged {
-            self.record.finding(format!("CONFIG: read {version}, acknowledged {acknowledged}"));
+            self.history.add_violation(format!(
+                "CONFIG: read version {version} after {acknowledged} was acknowledged"
+            ));
         }
-        if self.sent.get(&version) != Some(&read) {
-            self.record.finding(format!("CONFIG: version {version} is not what was sent"));
+        if self.submitted.get(&version) != Some(&read) {
+            self.history.add_violation(format!(
+                "CONFIG: version {version} differs from the submitted document"
+            ));
         }
         true
     }
 
-    /// Reads the document back until it comes, at most until `until`.
-    pub fn read_at_the_end(&mut self, until: Instant) {
+    /// Repeats reading the document back until there is a reply; records a violation at `deadline`.
+    pub fn read_back_until(&mut self, deadline: Instant) {
         while !self.read_back() {
-            if Instant::now() > until {
-                self.record.finding("CONFIG: the document was not read back".to_owned());
+            if Instant::now() > deadline {
+                self.history
+                    .add_violation("CONFIG: the document could not be read back".to_owned());
                 return;
             }
-            std::thread::sleep(AGAIN);
+            std::thread::sleep(RETRY_DELAY);
         }
     }
 }
 
 fn document(version: u64) -> Value {
-    let route = |name: &str, kind: &str, service: &str, attempts: u32, resumes: bool| {
+    let route = |name: &str, kind: &str, service: &str, attempts: u32, is_resumable: bool| {
         let timeout_ms = if kind == "streaming" { STREAM_TIMEOUT_MS } else { PLAIN_TIMEOUT_MS };
         json!({
             "name": name, "hostname": "crates.example", "path_prefix": format!("/{name}/"),
             "kind": kind, "timeout_ms": timeout_ms, "target_latency_ms": 500, "priority": 1,
-            "service": service, "max_attempts": attempts, "stream_resume": resumes,
+            "service": service, "max_attempts": attempts, "stream_resume": is_resumable,
         })
     };
     json!({
