--- a/crates/cli/tests/platform/handover.rs
+++ b/crates/cli/tests/platform/handover.rs
@@ -1,198 +1,210 @@
-//! Leaders and entry instances that stop, or stand still, while requests run.
+//! Leaders and entry instances that stop or are suspended while requests run.
 
 use crate::deployment::{Deployment, PATIENCE, eventually};
-use crate::support::{Endpoint, announce, announce_as, ask_as, next_id};
-use crate::{open, times_logged_ms};
+use crate::support::{Endpoint, announce, announce_as, next_id, send_request_as};
+use crate::{start_deployment, times_logged_ms};
 use googletest::prelude::*;
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::{Mutex, RwLock};
 use std::time::{Duration, Instant};
 
-/// What a process logs last.
+/// The last log message of a process.
 const STOPPED: &str = "\"stopped\"";
-/// Callers that ask one after the other, half of them at each entry instance.
+/// The number of concurrent callers, half of them at each entry instance.
 const CALLERS: usize = 6;
-/// How often endpoints announce themselves.
+/// The interval between announcements of an endpoint.
 const HEARTBEAT: Duration = Duration::from_millis(800);
-/// How long an instance stands still: longer than the leader remembers one that is silent.
-const PAUSE: Duration = Duration::from_secs(4);
+/// How long an instance is suspended: longer than the leader waits before it drops a silent instance.
+const SUSPENSION: Duration = Duration::from_secs(4);
 
-/// What callers were answered: the identifier of each request, with the status.
+/// The identifier and reply status of each request.
 #[derive(Default)]
-struct Answers(Mutex<Vec<(String, u16)>>);
+struct Replies(Mutex<Vec<(String, u16)>>);
 
-impl Answers {
-    fn note(&self, id: String, status: u16) {
+impl Replies {
+    fn add(&self, id: String, status: u16) {
         self.0.lock().unwrap().push((id, status));
     }
 
-    fn count(&self, wanted: u16) -> usize {
-        self.0.lock().unwrap().iter().filter(|(_, status)| *status == wanted).count()
+    fn count(&self, status: u16) -> usize {
+        self.0.lock().unwrap().iter().filter(|(_, other)| *other == status).count()
     }
 
-    /// Checks what every caller was promised.
+    /// Checks that each request ran as often as its status guarantees.
     fn check(&self, endpoint: &Endpoint) {
         for (id, status) in self.0.lock().unwrap().iter() {
             let runs = endpoint.runs_of(id);
             expect_that!(runs, le(1), "{id} ran more than once");
             match status {
-                200 => expect_that!(runs, eq(1), "{id} was answered and has not run"),
-                429 | 503 => expect_that!(runs, eq(0), "{id} was refused as not run"),
-                // Nothing is promised; one that was taken is answered.
-                0 => expect_that!(runs, eq(0), "{id} ran and was not answered"),
+                200 => expect_that!(runs, eq(1), "{id} was answered but did not run"),
+                429 | 503 => expect_that!(runs, eq(0), "{id} was refused but ran"),
+                // There was no reply; an instance replies to each request that it has accepted.
+                0 => expect_that!(runs, eq(0), "{id} ran but got no reply"),
                 502 | 504 => {}
-                other => panic!("{id} was answered {other}"),
+                other => panic!("{id} got the unexpected status {other}"),
             }
         }
     }
 }
 
-/// Lets callers send requests that may run once only, and the endpoint announce itself, while
-/// `disturb` runs.
-fn under_load(
+/// Runs `disturb` while callers send requests that may run only once and the endpoint announces
+/// itself; returns the replies.
+fn run_under_load(
     deployment: &RwLock<Deployment>,
     endpoint: &Endpoint,
-    disturb: impl FnOnce(&Answers),
-) -> Answers {
-    let (answers, is_over) = (Answers::default(), AtomicBool::new(false));
+    disturb: impl FnOnce(&Replies),
+) -> Replies {
+    let (replies, is_stopped) = (Replies::default(), AtomicBool::new(false));
     std::thread::scope(|scope| {
         for caller in 0..CALLERS {
-            let (answers, is_over) = (&answers, &is_over);
+            let (replies, is_stopped) = (&replies, &is_stopped);
             scope.spawn(move || {
-                while !is_over.load(Ordering::Relaxed) {
+                while !is_stopped.load(Ordering::Relaxed) {
                     let deployment = deployment.read().unwrap();
                     let id = next_id();
                     let place = caller % deployment.entries.len();
-                    let reply =
-                        ask_as(&deployment, place, &id, "POST", "/print/1", "key-1", "label");
-                    answers.note(id, reply.status);
+                    let reply = send_request_as(
+                        &deployment,
+                        place,
+                        &id,
+                        "POST",
+                        "/print/1",
+                        "key-1",
+                        "label",
+                    );
+                    replies.add(id, reply.status);
                 }
             });
         }
-        let is_over = &is_over;
-        scope.spawn(move || keep_announcing(deployment, endpoint, is_over));
-        disturb(&answers);
-        is_over.store(true, Ordering::Relaxed);
+        let is_stopped = &is_stopped;
+        scope.spawn(move || keep_announcing(deployment, endpoint, is_stopped));
+        disturb(&replies);
+        is_stopped.store(true, Ordering::Relaxed);
     });
-    answers
+    replies
 }
 
-fn keep_announcing(deployment: &RwLock<Deployment>, endpoint: &Endpoint, is_over: &AtomicBool) {
+fn keep_announcing(deployment: &RwLock<Deployment>, endpoint: &Endpoint, is_stopped: &AtomicBool) {
     let mut sequence = 10;
-    while !is_over.load(Ordering::Relaxed) {
+    while !is_stopped.load(Ordering::Relaxed) {
         sequence += 1;
-        let is_taken = |place: usize| {
+        let is_acknowledged = |place: usize| {
             announce(&deployment.read().unwrap(), place, endpoint, sequence, "ready").status == 200
         };
-        // One that does not answer is passed over.
-        let _ = (0..3).any(is_taken);
+        // A stopped control instance does not reply; the next one is tried.
+        let _ = (0..3).any(is_acknowledged);
         std::thread::sleep(HEARTBEAT);
     }
 }
 
-/// Waits until so many more requests are answered.
-fn more_answered(answers: &Answers) {
+/// Waits until 40 more requests are served.
+fn await_more_served(replies: &Replies) {
     const MORE: usize = 40;
-    let before = answers.count(200);
-    eventually("requests are answered", || answers.count(200) >= before + MORE);
+    let before = replies.count(200);
+    eventually("more requests are served", || replies.count(200) >= before + MORE);
 }
 
-/// Waits until a process has said that it stopped.
+/// Waits until a process has logged that it has stopped.
 fn await_stop(times_logged_ms: impl Fn() -> Vec<u64>) {
-    eventually("it stops", || !times_logged_ms().is_empty());
+    eventually("the process stops", || !times_logged_ms().is_empty());
 }
 
 #[gtest]
-fn leaders_that_stop_in_turn_run_nothing_twice_and_cut_nothing() {
-    let (deployment, endpoint) = open();
+fn requests_run_once_and_get_replies_while_leaders_stop_in_turn() {
+    let (deployment, endpoint) = start_deployment();
     let deployment = RwLock::new(deployment);
-    let answers = under_load(&deployment, &endpoint, |answers| {
+    let replies = run_under_load(&deployment, &endpoint, |replies| {
         for place in 0..3 {
-            more_answered(answers);
+            await_more_served(replies);
             deployment.read().unwrap().controls[place].signal("TERM");
             await_stop(|| times_logged_ms(&deployment.read().unwrap().controls[place], STOPPED));
-            more_answered(answers);
+            await_more_served(replies);
             let control = &mut deployment.write().unwrap().controls[place];
             expect_that!(control.exits_within(PATIENCE).is_some(), eq(true));
             control.start(false);
         }
-        more_answered(answers);
+        await_more_served(replies);
     });
-    answers.check(&endpoint);
-    expect_that!(answers.count(0), eq(0));
+    replies.check(&endpoint);
+    expect_that!(replies.count(0), eq(0));
 }
 
 #[gtest]
-fn leaders_that_stand_still_in_turn_run_nothing_twice() {
-    let (deployment, endpoint) = open();
+fn requests_run_at_most_once_while_leaders_are_suspended_in_turn() {
+    let (deployment, endpoint) = start_deployment();
     let deployment = RwLock::new(deployment);
-    let answers = under_load(&deployment, &endpoint, |answers| {
+    let replies = run_under_load(&deployment, &endpoint, |replies| {
         for place in 0..3 {
-            more_answered(answers);
+            await_more_served(replies);
             deployment.read().unwrap().controls[place].signal("STOP");
-            std::thread::sleep(PAUSE);
+            std::thread::sleep(SUSPENSION);
             deployment.read().unwrap().controls[place].signal("CONT");
-            more_answered(answers);
+            await_more_served(replies);
         }
     });
-    answers.check(&endpoint);
+    replies.check(&endpoint);
 }
 
 #[gtest]
-fn an_entry_instance_that_stops_under_load_answers_what_it_has_taken() {
-    let (deployment, endpoint) = open();
+fn an_entry_instance_that_stops_under_load_replies_to_accepted_requests() {
+    let (deployment, endpoint) = start_deployment();
     let deployment = RwLock::new(deployment);
-    let answers = under_load(&deployment, &endpoint, |answers| {
-        more_answered(answers);
+    let replies = run_under_load(&deployment, &endpoint, |replies| {
+        await_more_served(replies);
         deployment.read().unwrap().entries[0].signal("TERM");
         await_stop(|| times_logged_ms(&deployment.read().unwrap().entries[0], STOPPED));
-        more_answered(answers);
+        await_more_served(replies);
     });
-    // What meets the closed listener has not run: it is no answer, and no harm.
-    answers.check(&endpoint);
+    // A request that meets the closed listener gets no reply and does not run.
+    replies.check(&endpoint);
 }
 
 #[gtest]
-fn an_entry_instance_that_stood_still_sends_nothing_to_an_endpoint_that_left_meanwhile() {
-    const ASKED: usize = 8;
-    let (deployment, gone) = open();
-    let stays = Endpoint::start(&deployment);
+fn a_resumed_entry_instance_sends_no_request_to_an_endpoint_deregistered_meanwhile() {
+    const REQUESTS: usize = 8;
+    let (deployment, deregistered) = start_deployment();
+    let remaining = Endpoint::start(&deployment);
     let mut sequence = 10;
-    let mut announce_both = |is_there: bool| {
+    let mut announce_both = |includes_first: bool| {
         sequence += 1;
-        let names = [("i-1", &gone), ("i-2", &stays)];
-        for (name, endpoint) in names.into_iter().skip(usize::from(!is_there)) {
-            let taken = announce_as(&deployment, 0, (name, "v1"), endpoint, sequence, "ready");
-            expect_that!(taken.status, eq(200));
+        let names = [("i-1", &deregistered), ("i-2", &remaining)];
+        for (name, endpoint) in names.into_iter().skip(usize::from(!includes_first)) {
+            let reply = announce_as(&deployment, 0, (name, "v1"), endpoint, sequence, "ready");
+            expect_that!(reply.status, eq(200));
         }
     };
     announce_both(true);
-    eventually("both are used", || {
+    eventually("both endpoints receive requests", || {
         std::thread::scope(|scope| {
-            let ask =
-                || ask_as(&deployment, 0, &next_id(), "POST", "/print/slow", "key-1", "label");
-            (0..ASKED).for_each(|_| drop(scope.spawn(ask)));
+            let send = || {
+                send_request_as(&deployment, 0, &next_id(), "POST", "/print/slow", "key-1", "label")
+            };
+            (0..REQUESTS).for_each(|_| drop(scope.spawn(send)));
         });
-        stays.count() > 0
+        remaining.count() > 0
     });
     deployment.entries[0].signal("STOP");
-    let farewell = deployment.control(0, "DELETE", "/-/instances/i-1", "");
-    expect_that!(farewell.status, eq(200));
+    let reply = deployment.control(0, "DELETE", "/-/instances/i-1", "");
+    expect_that!(reply.status, eq(200));
     let started = Instant::now();
-    while started.elapsed() < PAUSE {
+    while started.elapsed() < SUSPENSION {
         announce_both(false);
         std::thread::sleep(HEARTBEAT);
     }
-    let before = gone.count();
+    let before = deregistered.count();
     let statuses: Vec<u16> = std::thread::scope(|scope| {
-        let ask =
-            || ask_as(&deployment, 0, &next_id(), "POST", "/print/1", "key-1", "label").status;
-        let callers: Vec<_> = (0..ASKED).map(|_| scope.spawn(ask)).collect();
-        // They are connected, and wait for it.
+        let send = || {
+            send_request_as(&deployment, 0, &next_id(), "POST", "/print/1", "key-1", "label").status
+        };
+        let callers: Vec<_> = (0..REQUESTS).map(|_| scope.spawn(send)).collect();
+        // The callers have connected to the suspended instance and wait for replies.
         std::thread::sleep(HEARTBEAT);
         deployment.entries[0].signal("CONT");
-        callers.into_iter().map(|caller| caller.join().expect("it ends")).collect()
+        callers
+            .into_iter()
+            .map(|caller| caller.join().expect("the caller does not panic"))
+            .collect()
     });
     expect_that!(statuses, each(eq(&200)));
-    expect_that!(gone.count(), eq(before));
+    expect_that!(deregistered.count(), eq(before));
 }
--- a/crates/cli/tests/platform/support.rs
+++ b/crates/cli/tests/platform/support.rs
@@ -1,4 +1,5 @@
-//! A stand-in for an endpoint that speaks the platform's protocol, and its callers.
+//! A stand-in endpoint that speaks the platform's protocol, and functions that send requests as
+//! endpoints and callers do.
 
 use crate::deployment::http::{chunk, field, read_request};
 use crate::deployment::{Deployment, FRONT_PORT, Reply, call};
@@ -9,15 +10,15 @@
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
 
-/// How long a request may take.
+/// How long a caller waits for a reply.
 const CALL_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// How long a request on the route `press` runs: too short to count as stalled.
-const PRESS_TIME: Duration = Duration::from_millis(200);
+/// How long a request on the route `press` runs: too short for the endpoint to count as stalled.
+const PRESS_DURATION: Duration = Duration::from_millis(200);
 
 static REQUESTS: AtomicU32 = AtomicU32::new(0);
 
-/// Announces the first endpoint.
+/// Announces the endpoint as `i-1` of version `v1`.
 pub fn announce(
     deployment: &Deployment,
     place: usize,
@@ -28,7 +29,7 @@
     announce_as(deployment, place, ("i-1", "v1"), endpoint, sequence, state)
 }
 
-/// Announces an endpoint of this name and version.
+/// Announces the endpoint under this name and version.
 pub fn announce_as(
     deployment: &Deployment,
     place: usize,
@@ -44,8 +45,8 @@
     deployment.control(place, "PUT", &format!("/-/instances/{name}"), &body.to_string())
 }
 
-/// Sends a caller's request.
-pub fn ask(
+/// Sends a caller's request under a new identifier.
+pub fn send_request(
     deployment: &Deployment,
     place: usize,
     method: &str,
@@ -53,16 +54,16 @@
     key: &str,
     body: &str,
 ) -> Reply {
-    ask_as(deployment, place, &next_id(), method, path, key, body)
+    send_request_as(deployment, place, &next_id(), method, path, key, body)
 }
 
-/// Returns an identifier that no request has had.
+/// Returns an unused request identifier.
 pub fn next_id() -> String {
     format!("r-{}", REQUESTS.fetch_add(1, Ordering::Relaxed))
 }
 
 /// Sends a caller's request under this identifier.
-pub fn ask_as(
+pub fn send_request_as(
     deployment: &Deployment,
     place: usize,
     id: &str,
@@ -81,90 +82,90 @@
     call(&address, &request, CALL_TIMEOUT).unwrap_or_default()
 }
 
-/// What an endpoint has seen.
+/// What an endpoint records about its requests, and whether it fails them.
 #[derive(Default)]
-struct Seen {
+struct EndpointState {
     last_request: Mutex<String>,
     running: AtomicU32,
-    most_at_once: AtomicU32,
+    max_concurrent: AtomicU32,
     count: AtomicU32,
-    /// How often each request was run, by its identifier.
+    /// How often each request has run, by its identifier.
     runs: Mutex<BTreeMap<String, u32>>,
-    /// Answers each request with a failure.
+    /// Whether the endpoint fails all requests with status 500.
     is_failing: AtomicBool,
 }
 
-/// A stand-in for an endpoint.
+/// A stand-in endpoint.
 pub struct Endpoint {
     pub address: String,
-    seen: Arc<Seen>,
+    state: Arc<EndpointState>,
 }
 
 impl Endpoint {
     pub fn start(deployment: &Deployment) -> Self {
         let listener = TcpListener::bind(format!("{}.60:0", deployment.prefix)).unwrap();
         let address = listener.local_addr().unwrap().to_string();
-        let seen = Arc::new(Seen::default());
-        let note = seen.clone();
+        let state = Arc::new(EndpointState::default());
+        let shared = state.clone();
         std::thread::spawn(move || {
             for stream in listener.incoming() {
-                let (stream, note) = (stream.unwrap(), note.clone());
-                std::thread::spawn(move || serve(stream, &note));
+                let (stream, state) = (stream.unwrap(), shared.clone());
+                std::thread::spawn(move || serve(stream, &state));
             }
         });
-        Self { address, seen }
+        Self { address, state }
     }
 
     pub fn last_request(&self) -> String {
-        self.seen.last_request.lock().unwrap().clone()
+        self.state.last_request.lock().unwrap().clone()
     }
 
-    /// Returns how many requests it has run.
+    /// Returns how many requests it has received.
     pub fn count(&self) -> u32 {
-        self.seen.count.load(Ordering::Relaxed)
+        self.state.count.load(Ordering::Relaxed)
     }
 
-    /// Returns how often it has run a request.
+    /// Returns how often it has received the request with this identifier.
     pub fn runs_of(&self, id: &str) -> u32 {
-        self.seen.runs.lock().unwrap().get(id).copied().unwrap_or(0)
+        self.state.runs.lock().unwrap().get(id).copied().unwrap_or(0)
     }
 
-    /// Lets it fail from now on.
-    pub fn fail(&self) {
-        self.seen.is_failing.store(true, Ordering::Relaxed);
+    /// Makes it fail all requests from now on.
+    pub fn fail_requests(&self) {
+        self.state.is_failing.store(true, Ordering::Relaxed);
     }
 
-    /// Returns how many requests ran at once, at most.
-    pub fn most_at_once(&self) -> u32 {
-        self.seen.most_at_once.load(Ordering::Relaxed)
+    /// Returns the highest number of requests that ran concurrently.
+    pub fn max_concurrent(&self) -> u32 {
+        self.state.max_concurrent.load(Ordering::Relaxed)
     }
 }
 
-fn serve(mut stream: TcpStream, seen: &Seen) {
+fn serve(mut stream: TcpStream, state: &EndpointState) {
     while let Some((head, body)) = read_request(&mut stream) {
-        *seen.last_request.lock().unwrap() = head.clone();
-        let running = seen.running.fetch_add(1, Ordering::Relaxed) + 1;
-        seen.most_at_once.fetch_max(running, Ordering::Relaxed);
+        *state.last_request.lock().unwrap() = head.clone();
+        let running = state.running.fetch_add(1, Ordering::Relaxed) + 1;
+        state.max_concurrent.fetch_max(running, Ordering::Relaxed);
         let id = field(&head, "request-id").unwrap_or_default();
-        seen.count.fetch_add(1, Ordering::Relaxed);
-        *seen.runs.lock().unwrap().entry(id.clone()).or_default() += 1;
-        if seen.is_failing.load(Ordering::Relaxed) {
-            seen.running.fetch_sub(1, Ordering::Relaxed);
-            let answer = format!(
+        state.count.fetch_add(1, Ordering::Relaxed);
+        *state.runs.lock().unwrap().entry(id.clone()).or_default() += 1;
+        if state.is_failing.load(Ordering::Relaxed) {
+            state.running.fetch_sub(1, Ordering::Relaxed);
+            let reply = format!(
                 "HTTP/1.1 500 Internal Server Error\r\nRequest-Id: {id}\r\nContent-Length: 0\r\n\r\n"
             );
-            if stream.write_all(answer.as_bytes()).is_err() {
+            if stream.write_all(reply.as_bytes()).is_err() {
                 return;
             }
             continue;
         }
         if head.contains(" /print/full") {
-            seen.running.fetch_sub(1, Ordering::Relaxed);
-            let answer = format!(
+            state.running.fetch_sub(1, Ordering::Relaxed);
+            let reply = format!(
                 "HTTP/1.1 503 Service Unavailable\r\nRequest-Id: {id}\r\nNot-Executed: 1\r\n\
                  Retry-After: 2\r\nContent-Length: 0\r\n\r\n"
             );
-            if stream.write_all(answer.as_bytes()).is_err() {
+            if stream.write_all(reply.as_bytes()).is_err() {
                 return;
             }
             continue;
@@ -181,10 +182,10 @@
             std::thread::sleep(Duration::from_secs(1));
         }
         if head.contains(" /press/") {
-            std::thread::sleep(PRESS_TIME);
+            std::thread::sleep(PRESS_DURATION);
         }
-        seen.running.fetch_sub(1, Ordering::Relaxed);
-        let answer = if head.contains(" /draft/") {
+        state.running.fetch_sub(1, Ordering::Relaxed);
+        let reply = if head.contains(" /draft/") {
             let events: String =
                 (1..=3).map(|n| chunk(&format!("id: {n}\ndata: word\n\n"))).collect();
             format!(
@@ -200,7 +201,7 @@
                  {body}"
             )
         };
-        if stream.write_all(answer.as_bytes()).is_err() {
+        if stream.write_all(reply.as_bytes()).is_err() {
             return;
         }
     }
