--- a/crates/cli/tests/cli/command_line.rs
+++ b/crates/cli/tests/cli/command_line.rs
@@ -1,4 +1,4 @@
-//! The command line as an operator meets it, and errors that say what to do.
+//! The command line: output, exit codes and error messages.
 
 use crate::support::{BINARY, Site, document, folder, stdout};
 use lycheehub_standin::cluster::{Cluster, Layout};
@@ -6,10 +6,10 @@
 use std::process::{Command, Output};
 
 fn run(arguments: &[&str]) -> Output {
-    Command::new(BINARY).args(arguments).output().expect("runs")
+    Command::new(BINARY).args(arguments).output().expect("the binary runs")
 }
 
-fn error(output: &Output) -> String {
+fn stderr(output: &Output) -> String {
     String::from_utf8_lossy(&output.stderr).into_owned()
 }
 
@@ -32,7 +32,7 @@
 }
 
 #[test]
-fn wrong_files_are_told_by_line_and_column() {
+fn errors_in_files_are_reported_with_line_and_column() {
     let folder = folder("command_line_files");
     std::fs::create_dir_all(&folder).expect("made");
     let cases = [
@@ -51,12 +51,12 @@
         std::fs::write(&path, text).expect("written");
         let output = run(&["check", &path.to_string_lossy()]);
         assert_eq!(output.status.code(), Some(3));
-        assert!(error(&output).contains(expected), "{}", error(&output));
+        assert!(stderr(&output).contains(expected), "{}", stderr(&output));
     }
 }
 
 #[test]
-fn wrong_files_of_the_platform_are_told_by_line_and_column() {
+fn errors_in_platform_files_are_reported_with_line_and_column() {
     let folder = folder("command_line_platform");
     std::fs::create_dir_all(&folder).expect("made");
     let settings = "node_name = \"entry-1\"\nip = \"10.1.0.25\"\nzone = \"salto\"\n\
@@ -78,13 +78,13 @@
         std::fs::write(&path, text).expect("written");
         let output = run(&["check", &path.to_string_lossy()]);
         let code = if expected.is_some() { 3 } else { 0 };
-        assert_eq!(output.status.code(), Some(code), "{name}: {}", error(&output));
-        assert!(error(&output).contains(expected.unwrap_or("")), "{name}: {}", error(&output));
+        assert_eq!(output.status.code(), Some(code), "{name}: {}", stderr(&output));
+        assert!(stderr(&output).contains(expected.unwrap_or("")), "{name}: {}", stderr(&output));
     }
 }
 
 #[test]
-fn a_daemon_that_cannot_start_says_why() {
+fn a_daemon_that_cannot_start_reports_the_cause() {
     let folder = folder("command_line_start");
     let cluster =
         Cluster::lay_out(Path::new(BINARY), &folder, &Layout { replicas: 1, ..Layout::default() })
@@ -93,12 +93,12 @@
     let held = std::net::TcpListener::bind(&cluster.instances[0].http).expect("free");
     let output = run(&["serve", "--settings", &settings]);
     assert_eq!(output.status.code(), Some(1));
-    assert!(error(&output).contains("is another instance running there?"), "{}", error(&output));
+    assert!(stderr(&output).contains("is another instance running there?"), "{}", stderr(&output));
     drop(held);
     std::fs::write(&cluster.instances[0].data, "not a folder").expect("written");
     let output = run(&["serve", "--settings", &settings]);
     assert_eq!(output.status.code(), Some(1));
-    assert!(error(&output).contains("cannot open the data folder"), "{}", error(&output));
+    assert!(stderr(&output).contains("cannot open the data folder"), "{}", stderr(&output));
     let output = run(&["serve", "--settings", "/nowhere.toml"]);
     assert_eq!(output.status.code(), Some(3));
 }
@@ -120,16 +120,19 @@
     assert!(stdout(&site.command(&["endpoints"])).starts_with("ENDPOINT"));
     assert!(stdout(&site.command(&["moves"])).starts_with("MOVE"));
     let output = site.command(&["apply", "--section", "labels", "--base", "1", &path]);
-    assert_eq!(output.status.code(), Some(4), "{}", error(&output));
+    assert_eq!(output.status.code(), Some(4), "{}", stderr(&output));
     std::fs::write(&file, "owner = \"somebody\"\n").expect("written");
     let output = site.command(&["apply", "--section", "mine", &path]);
-    assert_eq!(output.status.code(), Some(3), "{}", error(&output));
-    assert!(error(&output).contains("belongs to"), "{}", error(&output));
+    assert_eq!(output.status.code(), Some(3), "{}", stderr(&output));
+    assert!(stderr(&output).contains("belongs to"), "{}", stderr(&output));
 }
 
 #[test]
-fn an_unreachable_instance_is_named_with_the_step() {
-    let output = Command::new(BINARY).args(["get", "--to", "127.0.0.1:1"]).output().expect("runs");
+fn an_unreachable_instance_is_reported_with_the_failed_step() {
+    let output = Command::new(BINARY)
+        .args(["get", "--to", "127.0.0.1:1"])
+        .output()
+        .expect("the binary runs");
     assert_eq!(output.status.code(), Some(5));
-    assert!(error(&output).contains("connect at 127.0.0.1:1"), "{}", error(&output));
+    assert!(stderr(&output).contains("connect at 127.0.0.1:1"), "{}", stderr(&output));
 }
--- a/crates/cli/tests/cli/control.rs
+++ b/crates/cli/tests/cli/control.rs
@@ -1,4 +1,4 @@
-//! Control state under failure, with instances as separate processes.
+//! The replicated control state under failure, with instances as separate processes.
 
 use crate::operators::{Operators, accepted, is_linearizable};
 use crate::support::{BINARY, PATIENCE, Site, TRUCK_KEY, document, folder};
@@ -10,28 +10,28 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::time::{Duration, Instant};
 
-const A_WHILE: Duration = Duration::from_millis(1_500);
+const FAULT_INTERVAL: Duration = Duration::from_millis(1_500);
 
 fn leader(cluster: &Cluster, among: &[usize]) -> usize {
-    cluster.leader(among).expect("some are asked")
+    cluster.leader(among).expect("a leader is found")
 }
 
-/// Watches that no instance's revision in force ever goes back, restarts included.
-struct Watch {
+/// Checks that the revision in force at an instance never decreases, also across restarts.
+struct RevisionMonitor {
     stop: Arc<AtomicBool>,
     threads: Vec<std::thread::JoinHandle<Vec<u64>>>,
 }
 
-impl Watch {
+impl RevisionMonitor {
     fn start(addresses: &[String]) -> Self {
         let stop = Arc::new(AtomicBool::new(false));
-        let watch = |address: &String| {
+        let monitor = |address: &String| {
             let (address, stop) = (address.clone(), stop.clone());
             std::thread::spawn(move || {
                 let mut seen = Vec::new();
                 while !stop.load(Ordering::Relaxed) {
                     let reply = smol::block_on(send(&address, &Call::get("/readyz")));
-                    // Only an instance that is ready serves by its configuration.
+                    // An instance applies its configuration to requests only while it is ready.
                     if let Ok(reply) = reply
                         && reply.status == 200
                     {
@@ -42,7 +42,7 @@
                 seen
             })
         };
-        let threads = addresses.iter().map(watch).collect();
+        let threads = addresses.iter().map(monitor).collect();
         Self { stop, threads }
     }
 
@@ -50,26 +50,26 @@
         self.stop.store(true, Ordering::Relaxed);
         for thread in self.threads {
             let seen = thread.join().expect("watch");
-            assert!(seen.is_sorted(), "a revision in force went back");
+            assert!(seen.is_sorted(), "a revision in force decreased");
         }
     }
 }
 
 #[test]
-fn nothing_accepted_is_lost_while_leaders_are_killed() {
+fn no_accepted_submission_is_lost_while_leaders_are_killed() {
     let layout = Layout { others: 2, ..Layout::default() };
     let mut site = Site::start("control_kills", &layout);
-    let watch = Watch::start(&site.cluster.addresses());
+    let monitor = RevisionMonitor::start(&site.cluster.addresses());
     let operators = Operators::start(4, &site.cluster.addresses(), "race");
     for _ in 0..3 {
-        std::thread::sleep(A_WHILE);
+        std::thread::sleep(FAULT_INTERVAL);
         let killed = leader(&site.cluster, &[0, 1, 2]);
         site.cluster.kill(killed);
-        std::thread::sleep(A_WHILE);
+        std::thread::sleep(FAULT_INTERVAL);
         site.cluster.spawn(killed).expect("starts");
         assert!(site.cluster.wait_ready(killed, PATIENCE));
     }
-    // An instance without a disk restarts as well.
+    // An instance that stores no data restarts as well.
     site.cluster.kill(4);
     site.cluster.spawn(4).expect("starts");
     assert!(site.cluster.wait_ready(4, PATIENCE));
@@ -79,7 +79,7 @@
     let newest = site.cluster.read(1, "sections/race").expect("read").json()["revision"].as_u64();
     assert_eq!(newest, accepted.iter().max().copied());
     assert!(is_linearizable(history));
-    watch.finish();
+    monitor.finish();
 }
 
 #[test]
@@ -107,7 +107,7 @@
 }
 
 #[test]
-fn an_isolated_leader_commits_nothing_and_serves_nothing_stale() {
+fn an_isolated_leader_commits_nothing_and_serves_no_stale_reads() {
     let layout = Layout { proxied: true, ..Layout::default() };
     let site = Site::start("control_isolated", &layout);
     let base = site.apply("race", 0, "before", "owner = \"operator\"\n");
@@ -115,12 +115,12 @@
     let others: Vec<usize> = (0..3).filter(|at| *at != old).collect();
     site.cluster.isolate(old, true);
     let text = "owner = \"operator\"\n# from the others\n";
-    let taken = eventually(PATIENCE, || {
+    let is_accepted = eventually(PATIENCE, || {
         let reply = site.cluster.submit(others[0], "race", base, "others", text);
         reply.is_ok_and(|reply| reply.status == 200)
     });
-    assert!(taken);
-    // Cut off, it neither accepts nor tells an old revision as the present one.
+    assert!(is_accepted);
+    // The isolated leader neither accepts submissions nor serves stale reads.
     let reply = site
         .cluster
         .submit(old, "race", base, "isolated", "owner = \"operator\"\n")
@@ -131,16 +131,16 @@
     let new = leader(&site.cluster, &others);
     let terms = site.cluster.log(new).matches("became the leader").count();
     site.cluster.isolate(old, false);
-    let back = eventually(PATIENCE, || {
+    let is_synced = eventually(PATIENCE, || {
         let reply = site.cluster.read(old, "sections/race").expect("answered").json();
         reply["text"] == text
     });
-    assert!(back);
-    // It rejoins without unseating the leader.
-    std::thread::sleep(A_WHILE);
+    assert!(is_synced);
+    // The old leader rejoins without causing an election.
+    std::thread::sleep(FAULT_INTERVAL);
     assert_eq!(leader(&site.cluster, &[0, 1, 2]), new);
     assert_eq!(site.cluster.log(new).matches("became the leader").count(), terms);
-    // What it was sent while cut off was not accepted, and a resend tells so.
+    // The submission sent during the partition was not accepted, so its resend conflicts.
     let reply = site
         .cluster
         .submit(old, "race", base, "isolated", "owner = \"operator\"\n")
@@ -149,21 +149,21 @@
 }
 
 #[test]
-fn an_instance_that_hears_no_other_stops_serving_by_its_old_configuration() {
+fn an_isolated_instance_stops_serving_with_its_old_configuration() {
     let layout = Layout { others: 1, proxied: true, ..Layout::default() };
     let site = Site::start("control_isolated_entry", &layout);
     site.cluster.isolate(3, true);
     let call = Call::chat("label-writer", "hello", 1, false).key(TRUCK_KEY);
     assert!(eventually(PATIENCE, || site.send(3, &call).code().as_deref() == Some("no_quorum")));
     assert!(site.send(3, &call).not_run());
-    // The others go on, and so does it once it hears them again.
+    // The other instances still serve; the isolated one serves again after the partition.
     assert_eq!(site.send(0, &call).code().as_deref(), Some("no_endpoint"));
     site.cluster.isolate(3, false);
     assert!(site.cluster.wait_ready(3, PATIENCE));
 }
 
 #[test]
-fn a_one_way_cut_does_not_stop_the_others() {
+fn a_one_way_partition_of_the_leader_does_not_stop_the_others() {
     let layout = Layout { proxied: true, ..Layout::default() };
     let site = Site::start("control_one_way", &layout);
     let base = site.apply("race", 0, "before", "owner = \"operator\"\n");
@@ -171,34 +171,34 @@
     let others: Vec<usize> = (0..3).filter(|at| *at != leading).collect();
     // The leader no longer reaches the others, though they reach it.
     others.iter().for_each(|other| site.cluster.cut(leading, *other, true));
-    let taken = eventually(PATIENCE, || {
+    let is_accepted = eventually(PATIENCE, || {
         let reply =
             site.cluster.submit(others[0], "race", base, "one-way", "owner = \"operator\"\n");
         reply.is_ok_and(|reply| reply.status == 200)
     });
-    assert!(taken);
+    assert!(is_accepted);
 }
 
 #[test]
-fn a_frozen_leader_is_replaced_and_serves_nothing_stale_when_it_thaws() {
+fn a_suspended_leader_is_replaced_and_serves_no_stale_reads_when_resumed() {
     let site = Site::start("control_frozen", &Layout::default());
     let base = site.apply("race", 0, "before", "owner = \"operator\"\n");
     let old = leader(&site.cluster, &[0, 1, 2]);
     let other = (old + 1) % 3;
     site.cluster.signal(old, "STOP");
     let text = "owner = \"operator\"\n# while frozen\n";
-    let taken = eventually(PATIENCE, || {
+    let is_accepted = eventually(PATIENCE, || {
         let reply = site.cluster.submit(other, "race", base, "frozen", text);
         reply.is_ok_and(|reply| reply.status == 200)
     });
-    assert!(taken);
+    assert!(is_accepted);
     site.cluster.signal(old, "CONT");
     let reply = site.cluster.read(old, "sections/race").expect("answered");
     assert!(reply.status == 503 || reply.json()["text"] == text, "{}", reply.json());
 }
 
 #[test]
-fn a_resend_gets_the_first_answer_elsewhere_and_after_restarts() {
+fn a_resend_gets_the_first_reply_at_every_instance_after_restarts() {
     let mut site = Site::start("control_resend", &Layout::default());
     let revision = site.apply("race", 0, "once", "owner = \"operator\"\n");
     site.apply("race", revision, "later", "owner = \"operator\"\n# later\n");
@@ -217,20 +217,20 @@
 }
 
 #[test]
-fn without_a_quorum_operators_are_told_promptly_that_nothing_was_changed() {
+fn without_a_quorum_a_submission_fails_promptly_as_not_applied() {
     let mut site = Site::start("control_no_quorum", &Layout::default());
     site.cluster.kill(1);
     site.cluster.kill(2);
     std::thread::sleep(Duration::from_secs(3));
-    let begun = Instant::now();
+    let started = Instant::now();
     let reply =
         site.cluster.submit(0, "race", 0, "alone", "owner = \"operator\"\n").expect("answered");
     assert_eq!(reply.json()["outcome"], "not_applied", "{}", reply.json());
-    assert!(begun.elapsed() < Duration::from_secs(8));
+    assert!(started.elapsed() < Duration::from_secs(8));
 }
 
 #[test]
-fn a_restart_after_five_thousand_changes_reads_little() {
+fn a_restart_after_five_thousand_changes_reads_a_small_log() {
     const CHANGES: usize = 5_000;
     const OPERATORS: usize = 8;
     let mut site = Site::start("control_restart", &Layout::default());
@@ -266,13 +266,13 @@
 }
 
 #[test]
-fn a_full_disk_halts_the_replica_and_loses_nothing() {
+fn a_full_disk_halts_the_replica_without_data_loss() {
     let folder = folder("control_full_disk");
     let mut cluster =
         Cluster::lay_out(Path::new(BINARY), &folder, &Layout::default()).expect("laid out");
     cluster.spawn(0).expect("starts");
     cluster.spawn(1).expect("starts");
-    // The third process may write only small files: its log fills up.
+    // The third process has a file size limit, which its log reaches.
     let script = "trap '' XFSZ; ulimit -f 40; exec \"$0\" serve --settings \"$1\"";
     let mut limited = Command::new("sh")
         .args(["-c", script, BINARY])
@@ -287,16 +287,16 @@
     let mut base = 0;
     for count in 0..20 {
         let id = format!("fill-{count}");
-        let taken = eventually(PATIENCE, || {
+        let is_accepted = eventually(PATIENCE, || {
             let reply = cluster.submit(0, "fill", base, &id, &text).expect("answered");
             base = reply.json()["revision"].as_u64().unwrap_or(base);
             reply.status == 200
         });
-        assert!(taken);
+        assert!(is_accepted);
     }
     let reply = cluster.read(1, "sections/fill").expect("read");
     assert_eq!(reply.json()["revision"].as_u64(), Some(base));
-    // A process that has ended cannot be killed.
+    // Fails if the process has already exited.
     let _ = limited.kill();
     let log = limited.wait_with_output().expect("ended").stderr;
     assert!(String::from_utf8_lossy(&log).contains("control replica halted"));
--- a/crates/cli/tests/cli/floors.rs
+++ b/crates/cli/tests/cli/floors.rs
@@ -1,4 +1,4 @@
-//! Shedding between instances.
+//! Load shedding across instances.
 
 use crate::support::{BATCH_KEY, Site, TRUCK_KEY};
 use lycheehub_standin::caller::{Call, send};
@@ -8,7 +8,7 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::time::Duration;
 
-/// How long after a tier is shed at one instance a lower one may still be admitted at another.
+/// How long another instance may still admit a lower tier after one instance sheds a higher tier.
 const FLOOR_BOUND: Duration = Duration::from_secs(2);
 
 #[test]
@@ -16,7 +16,7 @@
     let layout = Layout { limits: "drain_ms = 200\nqueue_max = 6\n".into(), ..Layout::default() };
     let mut site = Site::start("floors", &layout);
     site.add(Options { slots: 3, token_ms: 40.0, ..Options::default() });
-    // The top tier alone overloads instance 0, so that it sheds the top tier itself.
+    // The top tier alone overloads instance 0, so that the instance sheds the top tier as well.
     let stop = Arc::new(AtomicBool::new(false));
     let flood: Vec<_> = (0..20)
         .map(|number| {
@@ -25,7 +25,7 @@
                 while !stop.load(Ordering::Relaxed) {
                     let prompt = format!("flood {number}");
                     let call = Call::chat("label-writer", &prompt, 10, false).key(TRUCK_KEY);
-                    // Whether it is served or shed, the flood goes on.
+                    // The flood continues whether the request is served or shed.
                     let _ = smol::block_on(send(&address, &call));
                 }
             })
@@ -37,7 +37,7 @@
     assert!(eventually(FLOOR_BOUND, || shed_at(1) && shed_at(2)), "a lower tier is still admitted");
     stop.store(true, Ordering::Relaxed);
     flood.into_iter().for_each(|caller| caller.join().expect("caller"));
-    // Once nothing is shed any more, the lower tier is served again.
+    // Once shedding stops, the lower tier is served again.
     let served = |at: usize| site.send(at, &low).status == 200;
     assert!(eventually(FLOOR_BOUND * 10, || (0..3).all(served)));
 }
--- a/crates/cli/tests/cli/moves.rs
+++ b/crates/cli/tests/cli/moves.rs
@@ -1,4 +1,4 @@
-//! Version moves and orders with real processes, through leader kills.
+//! Version moves and load orders with real processes, while leaders are killed.
 
 use crate::support::{PATIENCE, Site, TRUCK_KEY, document, rfc3339_in, stdout};
 use lycheehub_standin::caller::{Call, send};
@@ -13,8 +13,8 @@
     format!("\n[move.{id}]\nservice = \"label-writer\"\nto = \"{to}\"\nby = \"{by}\"\n")
 }
 
-/// Sends requests until it is stopped.
-fn traffic(site: &Site) -> (Arc<AtomicBool>, Vec<std::thread::JoinHandle<()>>) {
+/// Starts callers that send requests until the returned flag is set.
+fn start_traffic(site: &Site) -> (Arc<AtomicBool>, Vec<std::thread::JoinHandle<()>>) {
     let stop = Arc::new(AtomicBool::new(false));
     let caller = |number: usize| {
         let (stop, addresses) = (stop.clone(), site.cluster.addresses());
@@ -24,7 +24,7 @@
                 turn += 1;
                 let call = Call::chat("label-writer", &format!("{number} {turn}"), 4, false)
                     .key(TRUCK_KEY);
-                // What becomes of it shows in the stand-ins' record.
+                // The test checks the records of the endpoints, not the replies.
                 let _ = smol::block_on(send(&addresses[turn % addresses.len()], &call));
             }
         })
@@ -39,19 +39,19 @@
 }
 
 fn kill_leader(cluster: &mut Cluster) -> usize {
-    let leader = cluster.leader(&[0, 1, 2]).expect("three are asked");
+    let leader = cluster.leader(&[0, 1, 2]).expect("a leader is found");
     cluster.kill(leader);
     leader
 }
 
 #[test]
-fn a_bad_version_is_taken_back_and_stays_so_through_a_leader_kill() {
+fn a_bad_version_is_reverted_and_stays_reverted_after_a_leader_kill() {
     let mut site = Site::start("moves_bad", &Layout::default());
     site.add(Options::default());
     site.add(Options { name: "engine-2".into(), version: "v2".into(), ..Options::default() });
     site.endpoints[1].set_faults(Faults { fail: 1.0, ..Faults::default() });
-    let (stop, threads) = traffic(&site);
-    site.apply("labels", base(&site), "bad", &(document() + &order("bad", "v2", 60)));
+    let (stop, threads) = start_traffic(&site);
+    site.apply("labels", labels_revision(&site), "bad", &(document() + &order("bad", "v2", 60)));
     assert!(eventually(PATIENCE, || phase(&site, 0, "bad") == "reverted"));
     std::thread::sleep(Duration::from_secs(1));
     let to_bad = || site.records.ran().iter().filter(|ran| ran.version == "v2").count();
@@ -70,21 +70,21 @@
     assert!(to_bad <= 40, "{to_bad} requests to a version that always fails");
 }
 
-fn base(site: &Site) -> u64 {
+fn labels_revision(site: &Site) -> u64 {
     let reply = site.cluster.read(0, "sections/labels").expect("read");
     reply.json()["revision"].as_u64().expect("revision")
 }
 
 #[test]
-fn a_good_version_is_loaded_by_orders_and_done_in_time_through_a_leader_kill() {
+fn a_good_version_is_loaded_by_orders_and_done_in_time_despite_a_leader_kill() {
     let mut site = Site::start("moves_orders", &Layout::default());
     for number in 1..=3 {
         let fencing = number != 2;
         let name = format!("engine-{number}");
         site.add(Options { name, fencing, takes_orders: true, seed: number, ..Options::default() });
     }
-    let (stop, threads) = traffic(&site);
-    site.apply("labels", base(&site), "good", &(document() + &order("good", "v2", 45)));
+    let (stop, threads) = start_traffic(&site);
+    site.apply("labels", labels_revision(&site), "good", &(document() + &order("good", "v2", 45)));
     assert!(eventually(PATIENCE, || phase(&site, 0, "good") == "canary"
         || phase(&site, 0, "good") == "ramp"));
     let killed = kill_leader(&mut site.cluster);
@@ -92,7 +92,7 @@
     assert!(site.cluster.wait_ready(killed, PATIENCE));
     let shown = stdout(&site.command(&["moves", "--wait", "good"]));
     assert!(shown.lines().last().is_some_and(|line| line.starts_with("done")), "{shown}");
-    // The last endpoint of the old version follows once the move is done.
+    // The last endpoint of the old version loads the new one only after the move is done.
     let loaded = || {
         let reply = site.cluster.read(0, "endpoints").expect("read").json();
         let endpoints = reply["endpoints"].as_array().cloned().unwrap_or_default();
@@ -106,7 +106,7 @@
         let name = format!("engine-{number}");
         let fences: Vec<_> =
             orders.iter().filter(|order| order.endpoint == name).map(|order| order.fence).collect();
-        assert!(fences.is_sorted(), "orders crossed at {name}: {fences:?}");
+        assert!(fences.is_sorted(), "orders out of sequence at {name}: {fences:?}");
     }
     assert!(orders.iter().all(|order| order.version == "v2"));
 }
--- a/crates/cli/tests/cli/operators.rs
+++ b/crates/cli/tests/cli/operators.rs
@@ -1,4 +1,5 @@
-//! Operators as concurrent clients: they submit, read and resend, and write down what they saw.
+//! Concurrent operators that submit, read and resend, and record a history for the linearizability
+//! checker.
 
 use lycheehub_standin::caller::{Call, Reply, send};
 use lycheehub_standin::cluster::{OPERATOR_KEY, submit_to};
@@ -9,16 +10,16 @@
 use todc_utils::linearizability::history::{Action, History};
 use todc_utils::specifications::Specification;
 
-/// What an operator did to one section, and what came of it.
+/// An operator's call on a section, with its result.
 #[derive(Clone, Copy, Debug)]
 pub enum Operation {
-    /// Submitted on a base revision and was accepted, or lost against a revision.
-    Submit { base: u64, accepted: Option<u64>, lost_against: Option<u64> },
+    /// A submission on a base revision, which was accepted as a revision or conflicted with one.
+    Submit { base: u64, accepted: Option<u64>, conflicts_with: Option<u64> },
     /// Read the revision.
     Read(u64),
 }
 
-/// A section is a register that is written only on its present revision.
+/// Specifies a section as a register with compare-and-swap on its revision.
 struct Section;
 
 impl Specification for Section {
@@ -33,8 +34,8 @@
         match *operation {
             Operation::Read(revision) => (revision == *state, *state),
             Operation::Submit { base, accepted: Some(revision), .. } => (base == *state, revision),
-            Operation::Submit { base, lost_against, .. } => {
-                (base != *state && lost_against == Some(*state), *state)
+            Operation::Submit { base, conflicts_with, .. } => {
+                (base != *state && conflicts_with == Some(*state), *state)
             }
         }
     }
@@ -42,7 +43,7 @@
 
 type Events = Arc<Mutex<Vec<(usize, Action<Operation>)>>>;
 
-/// Operators that run until they are stopped.
+/// Operator threads that run until [`Operators::finish`].
 pub struct Operators {
     events: Events,
     stop: Arc<AtomicBool>,
@@ -50,7 +51,7 @@
 }
 
 impl Operators {
-    /// Starts `count` operators who race on one section through all addresses.
+    /// Starts `count` operators that compete for one section through all addresses.
     pub fn start(count: usize, addresses: &[String], section: &str) -> Self {
         let events = Events::default();
         let stop = Arc::new(AtomicBool::new(false));
@@ -68,7 +69,7 @@
         Self { events, stop, threads }
     }
 
-    /// Stops the operators and returns what they saw.
+    /// Stops the operators and returns their history.
     pub fn finish(self) -> Vec<(usize, Action<Operation>)> {
         self.stop.store(true, Ordering::Relaxed);
         for thread in self.threads {
@@ -78,12 +79,12 @@
     }
 }
 
-/// Tells whether a history fits a register that is written only on its present revision.
+/// Tells whether a history is linearizable for a register with compare-and-swap.
 pub fn is_linearizable(history: Vec<(usize, Action<Operation>)>) -> bool {
     WGLChecker::<Section>::is_linearizable(History::from_actions(history))
 }
 
-/// Counts the submissions that were accepted.
+/// Returns the revisions of the accepted submissions.
 pub fn accepted(history: &[(usize, Action<Operation>)]) -> Vec<u64> {
     let accepted = |(_, action): &(usize, Action<Operation>)| match action {
         Action::Response(Operation::Submit { accepted, .. }) => *accepted,
@@ -123,14 +124,15 @@
         events.len() - 1
     }
 
-    /// Notes the answer, also at the call, since the checker compares whole operations.
+    /// Records the result, also in the call's event, since the checker expects the same operation in
+    /// both.
     fn respond(&self, call: usize, operation: Operation) {
         let mut events = self.events.lock().expect("no panic");
         events[call].1 = Action::Call(operation);
         events.push((self.number, Action::Response(operation)));
     }
 
-    /// Reads until an instance answers; a failed read leaves no trace in the history.
+    /// Retries a read until an instance replies; the history holds one operation for all attempts.
     fn read(&self, turn: &mut usize) -> Option<u64> {
         let call = self.call(Operation::Read(0));
         let path = format!("/v1/operators/sections/{}", self.section);
@@ -150,19 +152,23 @@
         }
     }
 
-    /// Submits and sends again, elsewhere, until the outcome is known.
+    /// Retries a submission at the next instance until its outcome is known.
     fn submit(&self, turn: &mut usize, base: u64, count: usize) {
         let id = format!("operator-{}-{count}", self.number);
         let text = format!("owner = \"operator\"\n# {id}\n");
-        let call = self.call(Operation::Submit { base, accepted: None, lost_against: None });
+        let call = self.call(Operation::Submit { base, accepted: None, conflicts_with: None });
         loop {
             let reply =
                 submit_to(self.address(turn), OPERATOR_KEY, &self.section, base, &id, &text);
             if let Ok(reply) = reply {
                 let revision = reply.json()["revision"].as_u64();
                 let operation = match reply.status {
-                    200 => Some(Operation::Submit { base, accepted: revision, lost_against: None }),
-                    409 => Some(Operation::Submit { base, accepted: None, lost_against: revision }),
+                    200 => {
+                        Some(Operation::Submit { base, accepted: revision, conflicts_with: None })
+                    }
+                    409 => {
+                        Some(Operation::Submit { base, accepted: None, conflicts_with: revision })
+                    }
                     _ => None,
                 };
                 if let Some(operation) = operation {
--- a/crates/cli/tests/cli/requests.rs
+++ b/crates/cli/tests/cli/requests.rs
@@ -1,5 +1,5 @@
-//! Requests under failure. The stand-ins' record of what they ran is the ground truth; it is
-//! joined with what callers saw.
+//! Requests under failure. The tests compare the replies that callers received with the stand-in
+//! endpoints' records of what actually ran.
 
 use crate::support::{BATCH_KEY, PATIENCE, Site, TRUCK_KEY};
 use lycheehub_standin::caller::{Call, Reply, Streamed, chat_messages, send, stream};
@@ -12,10 +12,10 @@
 use std::thread::JoinHandle;
 use std::time::Duration;
 
-/// The seconds after which an endpoint that is leaving or silent gets no new work.
+/// How long an endpoint that is shutting down or silent may still get new requests.
 const LEAVING_BOUND: Duration = Duration::from_secs(6);
-/// One in this many requests of a burst is of the top tier, well below what the engine can do.
-const TOP: u64 = 50;
+/// One in this many requests of a burst is of the top tier, well below the capacity of the engine.
+const TOP_TIER_INTERVAL: u64 = 50;
 
 fn plain(number: u32) -> Options {
     Options {
@@ -32,14 +32,14 @@
     Options { name: format!("engine-{number}"), seed: u64::from(number), ..Options::default() }
 }
 
-/// Callers that run until they are stopped.
+/// Caller threads that run until [`Callers::finish`].
 struct Callers<T> {
     stop: Arc<AtomicBool>,
     threads: Vec<JoinHandle<Vec<T>>>,
 }
 
 impl<T: Send + 'static> Callers<T> {
-    /// Starts `count` callers; each calls `one` with a number of its own, again and again.
+    /// Starts `count` callers, each of which calls `one` in a loop; every call gets a unique number.
     fn start(count: u64, one: impl Fn(u64) -> T + Clone + Send + 'static) -> Self {
         let stop = Arc::new(AtomicBool::new(false));
         let next = Arc::new(AtomicU64::new(1));
@@ -63,12 +63,13 @@
     }
 }
 
-/// Sends one invoice under one key to instance after instance until it is answered.
+/// Sends one invoice with one idempotency key to the instances in turn until an attempt after the first
+/// is served, so that every invoice is sent at least twice.
 fn invoice(addresses: &[String], number: u64) -> (String, Vec<Option<Reply>>) {
-    const TRIES: u64 = 8;
+    const ATTEMPTS: u64 = 8;
     let path = format!("/invoice/{number}");
     let mut replies = Vec::new();
-    for turn in 0..TRIES {
+    for turn in 0..ATTEMPTS {
         let call = Call::post(&format!("/v1/services/invoices{path}"))
             .key(TRUCK_KEY)
             .header("idempotency-key", &format!("key-{number}"))
@@ -86,7 +87,7 @@
     (path, replies)
 }
 
-/// Checks what callers saw of their invoices against what was run.
+/// Checks the replies to invoices against the endpoints' records.
 fn check_invoices(site: &Site, seen: &[(String, Vec<Option<Reply>>)]) {
     let mut ran: BTreeMap<String, usize> = BTreeMap::new();
     for entry in site.records.ran() {
@@ -98,12 +99,12 @@
         let answers: Vec<&Reply> =
             replies.iter().flatten().filter(|reply| reply.status == 200).collect();
         for answer in &answers {
-            assert_eq!(answer.json()["ran"], path.as_str(), "another's answer");
-            assert_eq!(times, 1, "{path} was answered and did not run");
+            assert_eq!(answer.json()["ran"], path.as_str(), "reply to another request");
+            assert_eq!(times, 1, "{path} was answered but did not run");
         }
         let refused = |reply: &Option<Reply>| reply.as_ref().is_some_and(Reply::not_run);
         if replies.iter().all(refused) {
-            assert_eq!(times, 0, "{path} was always refused as not run, and ran");
+            assert_eq!(times, 0, "{path} was always refused as not run but ran");
         }
     }
 }
@@ -130,12 +131,12 @@
     let seen = callers.finish();
     let answered =
         seen.iter().filter(|(_, replies)| replies.iter().flatten().any(|r| r.status == 200));
-    assert!(answered.count() > 50, "too few were answered");
+    assert!(answered.count() > 50, "too few requests were served");
     check_invoices(&site, &seen);
 }
 
 #[test]
-fn an_invoice_is_not_sent_again_when_its_endpoint_fails_in_the_middle() {
+fn an_invoice_is_not_retried_when_its_endpoint_fails_while_running_it() {
     let mut site = Site::start("requests_frozen_endpoint", &Layout::default());
     site.add(plain(1));
     site.add(plain(2));
@@ -159,7 +160,7 @@
     assert_eq!(site.records.ran().len(), ran);
 }
 
-/// A generation as its caller saw it.
+/// A streamed generation as its caller received it.
 struct Generation {
     prompt: String,
     tokens: u64,
@@ -167,7 +168,7 @@
     streamed: Streamed,
 }
 
-/// Streams one generation and tells how it ended.
+/// Streams one generation.
 fn generation(addresses: &[String], number: u64) -> Generation {
     let prompt = format!("label {number}");
     let tokens = 5 + number % 40;
@@ -179,25 +180,26 @@
     Generation { prompt, tokens, end, streamed }
 }
 
-/// Checks that a stream that ended well is whole and the caller's own, and any other a part of it.
+/// Checks that each completed stream has the expected text of its own request, and that each failed one
+/// is a prefix of that text; returns the number of completed streams.
 fn check_generations(seen: &[Generation]) -> usize {
-    let mut whole = 0;
+    let mut complete = 0;
     for Generation { prompt, tokens, end, streamed } in seen {
         let expected: String =
             (0..*tokens).map(|at| token_text(&chat_messages(prompt), at)).collect();
         if end.is_ok() {
             assert_eq!(streamed.text, expected, "{prompt}");
-            whole += 1;
+            complete += 1;
         } else {
             assert!(expected.starts_with(&streamed.text), "{prompt}: {}", streamed.text);
-            assert!(!streamed.done, "{prompt} was cut short and passed off as whole");
+            assert!(!streamed.done, "{prompt} was truncated but marked as complete");
         }
     }
-    whole
+    complete
 }
 
 #[test]
-fn every_stream_is_whole_and_the_callers_own_while_engines_fail() {
+fn streams_are_complete_and_not_mixed_up_while_engines_fail() {
     let mut site = Site::start("requests_streams", &Layout::default());
     (1..=4).for_each(|number| site.add(engine(number)));
     let addresses = site.cluster.addresses();
@@ -213,19 +215,19 @@
         std::thread::sleep(Duration::from_millis(400));
     }
     let seen = callers.finish();
-    let whole = check_generations(&seen);
-    assert!(whole * 100 >= seen.len() * 95, "{whole} of {} whole", seen.len());
+    let complete = check_generations(&seen);
+    assert!(complete * 100 >= seen.len() * 95, "{complete} of {} streams complete", seen.len());
     let resumed = site.records.ran().iter().filter(|ran| ran.resumed_from > 0).count();
-    assert!(resumed > 0, "no stream went on elsewhere");
+    assert!(resumed > 0, "no stream was resumed at another endpoint");
 }
 
 #[test]
-fn a_rolling_restart_under_load_cuts_no_stream() {
+fn a_rolling_restart_under_load_interrupts_no_stream() {
     let layout = Layout { limits: "drain_ms = 1000\n".into(), ..Layout::default() };
     let mut site = Site::start("requests_rolling", &layout);
     (1..=3).for_each(|number| site.add(engine(number)));
     let addresses = site.cluster.addresses();
-    // As a balancer does, callers go only to instances that report that they are ready.
+    // Like a load balancer, callers use only instances that report that they are ready.
     let callers = Callers::start(12, move |number| {
         let ready: Vec<String> =
             addresses.iter().filter(|address| is_ready(address)).cloned().collect();
@@ -240,10 +242,10 @@
         assert!(site.cluster.wait_ready(at, PATIENCE));
     }
     let seen = callers.finish();
-    let whole = check_generations(&seen);
+    let complete = check_generations(&seen);
     let ends: Vec<_> = seen.iter().filter_map(|one| one.end.as_ref().err()).collect();
-    assert_eq!(whole, seen.len(), "{ends:?}");
-    assert!(whole > 100, "only {whole} streams");
+    assert_eq!(complete, seen.len(), "{ends:?}");
+    assert!(complete > 100, "only {complete} streams");
 }
 
 fn is_ready(address: &str) -> bool {
@@ -251,11 +253,11 @@
 }
 
 #[test]
-fn a_silent_or_leaving_endpoint_gets_no_new_work_from_any_instance() {
+fn no_instance_sends_new_requests_to_a_silent_or_leaving_endpoint() {
     let layout = Layout { proxied: true, ..Layout::default() };
     let mut site = Site::start("requests_leaving", &layout);
     (1..=3).for_each(|number| site.add(engine(number)));
-    // Instance 2 is cut off from the others; the endpoints go on announcing to all in turn.
+    // Instance 2 is partitioned from the others; the endpoints still announce to all in turn.
     site.cluster.isolate(2, true);
     site.endpoints[0].set_faults(Faults { silent: true, ..Faults::default() });
     site.endpoints[1].set_faults(Faults { leaving: true, ..Faults::default() });
@@ -274,19 +276,19 @@
 }
 
 #[test]
-fn refusals_are_prompt_and_true_and_the_top_tier_is_served_in_a_burst() {
+fn refused_requests_do_not_run_and_the_top_tier_is_served_in_a_burst() {
     let layout = Layout { limits: "drain_ms = 200\nqueue_max = 20\n".into(), ..Layout::default() };
     let mut site = Site::start("requests_burst", &layout);
     site.add(Options { slots: 6, token_ms: 5.0, ..engine(1) });
     let addresses = site.cluster.addresses();
     let ask = move |number: u64| {
-        let key = if number.is_multiple_of(TOP) { TRUCK_KEY } else { BATCH_KEY };
+        let key = if number.is_multiple_of(TOP_TIER_INTERVAL) { TRUCK_KEY } else { BATCH_KEY };
         let prompt = format!("burst {number}");
         let call = Call::chat("label-writer", &prompt, 20, false).key(key);
         let call = call.header("x-deadline-ms", "5000");
-        let begun = std::time::Instant::now();
+        let started = std::time::Instant::now();
         let reply = smol::block_on(send(&addresses[number as usize % 3], &call)).expect("answered");
-        let took = begun.elapsed();
+        let took = started.elapsed();
         if reply.status != 200 {
             std::thread::sleep(Duration::from_millis(100));
         }
@@ -300,7 +302,7 @@
     for (number, prompt, reply, took) in &seen {
         let body = chat_messages(prompt);
         let times = ran.iter().filter(|ran| ran.body.contains(&body)).count();
-        if number.is_multiple_of(TOP) {
+        if number.is_multiple_of(TOP_TIER_INTERVAL) {
             top += 1;
             top_served += usize::from(reply.status == 200);
         }
@@ -310,7 +312,7 @@
         }
         refused += 1;
         assert!(reply.not_run() && reply.retry_after.is_some(), "{}", reply.json());
-        assert_eq!(times, 0, "refused as not run, and ran");
+        assert_eq!(times, 0, "refused as not run but ran");
         assert!(*took < Duration::from_millis(4_000), "a refusal took {took:?}");
     }
     assert!(refused > 0, "the burst was too small");
@@ -318,11 +320,11 @@
 }
 
 #[test]
-fn a_request_lost_with_its_engine_is_not_said_to_have_not_run() {
+fn a_request_lost_with_its_engine_is_not_reported_as_not_run() {
     let mut site =
         Site::start("requests_engine_lost", &Layout { replicas: 1, ..Layout::default() });
     site.add(Options { token_ms: 100.0, ..engine(1) });
-    // The first request leaves an idle connection, which the second one is sent over.
+    // The first request leaves an idle connection, which the second request reuses.
     let warm = Call::chat("label-writer", "warm", 1, false).key(TRUCK_KEY);
     assert_eq!(site.send(0, &warm).status, 200);
     let address = site.cluster.instances[0].http.clone();
@@ -338,14 +340,14 @@
 }
 
 #[test]
-fn a_caller_that_leaves_frees_its_slot() {
+fn a_caller_that_disconnects_frees_its_slot() {
     let mut site = Site::start("requests_left", &Layout::default());
     site.add(Options { slots: 3, token_ms: 50.0, ..engine(1) });
     let address = site.cluster.instances[0].http.clone();
     let call = Call::chat("label-writer", "long", 400, true).key(TRUCK_KEY);
     smol::block_on(smol::future::or(
         async {
-            // The caller leaves before the end.
+            // The timer drops this future, which disconnects the caller before the end.
             let _ = stream(&address, &call, &mut Streamed::default()).await;
         },
         async {
--- a/crates/cli/tests/cli/security.rs
+++ b/crates/cli/tests/cli/security.rs
@@ -1,4 +1,4 @@
-//! Who holds no key changes nothing.
+//! Peers, operators, endpoints and callers without the right key are refused, and keys are not logged.
 
 use crate::support::{PATIENCE, Site};
 use lycheehub_standin::caller::{Call, send};
@@ -8,7 +8,7 @@
 use std::time::Duration;
 
 #[test]
-fn an_instance_with_another_peer_key_is_not_let_in() {
+fn an_instance_with_a_wrong_peer_key_cannot_join() {
     let mut site = Site::start("security_peer", &Layout { others: 1, ..Layout::default() });
     site.cluster.kill(3);
     std::fs::write(site.cluster.folder().join("peer.key"), "quite another peer key\n")
@@ -21,7 +21,7 @@
 }
 
 #[test]
-fn keys_of_one_kind_do_not_serve_for_another() {
+fn a_key_of_one_kind_is_refused_for_another() {
     let site = Site::start("security_kinds", &Layout { replicas: 1, ..Layout::default() });
     let address = &site.cluster.instances[0].http;
     for key in [crate::support::TRUCK_KEY, lycheehub_standin::cluster::ENDPOINT_KEY, ""] {
@@ -29,7 +29,7 @@
             submit_to(address, key, "mine", 0, "r", "owner = \"operator\"\n").expect("answered");
         assert_eq!(reply.status, 401);
     }
-    // Another operator's key opens the calls, but not somebody else's section.
+    // Another operator is authorized to submit, but not to change a section with a different owner.
     let reply = submit_to(address, OTHER_OPERATOR_KEY, "labels", 1, "r", "owner = \"other\"\n")
         .expect("answered");
     assert!(matches!(reply.status, 409 | 422), "{}", reply.json());
@@ -68,7 +68,7 @@
 }
 
 #[test]
-fn rubbish_on_either_port_leaves_the_instance_serving() {
+fn random_bytes_on_either_port_do_not_stop_the_instance() {
     let site = Site::start("security_rubbish", &Layout { replicas: 1, ..Layout::default() });
     let instance = &site.cluster.instances[0];
     for round in 0..200_u64 {
@@ -77,7 +77,7 @@
             .collect();
         for address in [&instance.http, &instance.peer] {
             let mut stream = TcpStream::connect(address).expect("connects");
-            // The instance may close the connection at the first wrong byte.
+            // The write fails if the instance closes the connection at the first invalid byte.
             let _ = stream.write_all(&bytes);
         }
     }
--- a/crates/cli/tests/cli/summary.rs
+++ b/crates/cli/tests/cli/summary.rs
@@ -1,10 +1,10 @@
-//! What became of all requests in log files, as `lycheehub summary` adds it up.
+//! The totals that `lycheehub summary` computes from the requests in log files.
 
 use googletest::prelude::*;
 use serde_json::{Value, json};
 use std::process::Command;
 
-/// Writes the line of a request that ended at `time_ms`.
+/// Returns the log line of a request that ended at `time_ms`.
 fn line(time_ms: u64, fields: &Value) -> String {
     let mut kv = json!({
         "id": "r", "service": "writer", "account": "large", "rank": 0, "returning": false,
@@ -14,7 +14,7 @@
         kv[name] = value.clone();
     }
     let line = json!({ "level": "info", "timestamp": time_ms, "payload": "request", "kv": kv });
-    // Some tools write the time and the machine before what a process wrote.
+    // Some log collectors prefix each line with the time and the host.
     format!("0.1 front-1 {line}\n")
 }
 
@@ -24,28 +24,30 @@
     let path = folder.join(format!("entry-{}.log", options.len()));
     std::fs::write(&path, log).expect("written");
     let mut command = Command::new(env!("CARGO_BIN_EXE_lycheehub"));
-    let output = command.arg("summary").args(options).arg(&path).output().expect("runs");
+    let output = command.arg("summary").args(options).arg(&path).output().expect("the binary runs");
     expect_that!(output.status.success(), eq(true));
     String::from_utf8(output.stdout).expect("text")
 }
 
 fn log() -> String {
     let refused = json!({ "end": "overloaded", "rank": 2, "waited_ms": 80, "retry_after_ms": 900 });
-    let again = json!({ "end": "overloaded", "rank": 2, "retry_after_ms": 300, "returning": true });
+    let retried =
+        json!({ "end": "overloaded", "rank": 2, "retry_after_ms": 300, "returning": true });
     let served = json!({ "attempts": "e-1=Broken@500ms e-2=Answered@1000ms", "total_ms": 1_500 });
-    let over = json!({ "end": "quota_exceeded", "account": "small", "retry_after_ms": 2_000 });
+    let over_quota =
+        json!({ "end": "quota_exceeded", "account": "small", "retry_after_ms": 2_000 });
     let lines = [
         line(10_100, &refused),
-        line(11_300, &again),
+        line(11_300, &retried),
         line(12_500, &served),
-        line(12_600, &over),
+        line(12_600, &over_quota),
         "{\"payload\":\"other\",\"timestamp\":1,\"kv\":{}}\nno line of ours\n".to_owned(),
     ];
     lines.concat()
 }
 
 #[gtest]
-fn requests_are_added_up_by_rank_account_cause_and_second() {
+fn requests_are_counted_by_rank_account_cause_and_second() {
     let text = summary(&["--json"], &log());
     let summary: Value = serde_json::from_str(&text).expect("JSON");
     let ranks = summary["ranks"].as_array().expect("a list");
@@ -59,8 +61,8 @@
         eq(&json!({ "served": 0, "unserved": { "overloaded": 1 } }))
     );
     expect_that!(summary["accounts"]["small"]["served"], eq(&json!(0)));
-    let told = &summary["refusals"]["overloaded"];
-    expect_that!((&told["count"], &told["waited_ms"][2]), eq((&json!(2), &json!(80))));
+    let refusals = &summary["refusals"]["overloaded"];
+    expect_that!((&refusals["count"], &refusals["waited_ms"][2]), eq((&json!(2), &json!(80))));
     let seconds = summary["seconds"].as_array().expect("a list");
     // The first attempt held a slot from 11.0 to 11.5 s, the second one to 12.5 s.
     expect_that!(seconds[1]["held_ms_by_rank"]["0"], eq(&json!(1_000)));
@@ -68,7 +70,7 @@
 }
 
 #[gtest]
-fn the_same_is_shown_as_text() {
+fn the_summary_is_also_printed_as_text() {
     let text = summary(&[], &log());
     expect_that!(
         text,
--- a/crates/cli/tests/cli/support.rs
+++ b/crates/cli/tests/cli/support.rs
@@ -1,4 +1,4 @@
-//! What the tests share: a cluster of processes, stand-ins and a document.
+//! The setup shared by the tests: a cluster of processes, stand-in endpoints and a document.
 
 use lycheehub_standin::caller::{Call, Reply, send};
 use lycheehub_standin::cluster::{Cluster, ENDPOINT_KEY, Layout, OPERATOR_KEY, eventually};
@@ -10,35 +10,35 @@
 use time::OffsetDateTime;
 use time::format_description::well_known::Rfc3339;
 
-/// How long anything may take that a test waits for.
+/// How long a test waits for an expected condition.
 pub const PATIENCE: Duration = Duration::from_secs(30);
 /// The binary under test.
 pub const BINARY: &str = env!("CARGO_BIN_EXE_lycheehub");
-/// The highest tier's key.
+/// The API key of the client account in the highest tier.
 pub const TRUCK_KEY: &str = "truck-key";
-/// The lowest tier's key.
+/// The API key of the client account in the lowest tier.
 pub const BATCH_KEY: &str = "batch-key";
 
-/// A cluster with stand-ins.
+/// A cluster with stand-in endpoints.
 pub struct Site {
     pub cluster: Cluster,
     pub endpoints: Vec<Endpoint>,
     pub records: Records,
 }
 
-/// Returns an empty folder of this test's own.
+/// Returns the path of a folder for this test; removes the folder of an earlier run.
 pub fn folder(test: &str) -> PathBuf {
     let folder = Path::new(env!("CARGO_TARGET_TMPDIR")).join(test);
-    // The folder is there only after an earlier run.
+    // The folder exists only if an earlier run has left it.
     let _ = std::fs::remove_dir_all(&folder);
     folder
 }
 
-pub fn digest(key: &str) -> String {
+pub fn sha256_hex(key: &str) -> String {
     hex::encode(Sha256::digest(key.as_bytes()))
 }
 
-/// Returns the document that most tests start from.
+/// Returns the document that most tests submit first.
 pub fn document() -> String {
     format!(
         r#"owner = "operator"
@@ -60,8 +60,8 @@
 key_sha256 = "{}"
 tier = 4
 "#,
-        digest(TRUCK_KEY),
-        digest(BATCH_KEY)
+        sha256_hex(TRUCK_KEY),
+        sha256_hex(BATCH_KEY)
     )
 }
 
@@ -92,7 +92,8 @@
         })
     }
 
-    /// Starts a stand-in that announces itself to all instances in turn.
+    /// Starts a stand-in endpoint that announces itself to all instances in turn; waits until all
+    /// instances list it.
     pub fn add(&mut self, options: Options) {
         let options = Options {
             announce_to: self.cluster.addresses(),
@@ -101,12 +102,14 @@
         };
         let name = options.name.clone();
         self.endpoints.push(Endpoint::start(options, self.records.clone()).expect("listens"));
-        let seen = || (0..self.cluster.instances.len()).all(|at| self.grants(at, &name).is_some());
+        let seen =
+            || (0..self.cluster.instances.len()).all(|at| self.granted_slots(at, &name).is_some());
         assert!(eventually(PATIENCE, seen), "{name} not seen by all");
     }
 
-    /// Returns the slots that an instance may use at an endpoint.
-    pub fn grants(&self, at: usize, endpoint: &str) -> Option<u64> {
+    /// Returns how many slots of an endpoint are granted to an instance; `None` if the instance doesn't
+    /// list the endpoint.
+    pub fn granted_slots(&self, at: usize, endpoint: &str) -> Option<u64> {
         let reply = self.cluster.read(at, "endpoints").ok()?.json();
         let endpoints = reply["endpoints"].as_array()?;
         let found = endpoints.iter().find(|entry| entry["endpoint"] == endpoint)?;
@@ -118,7 +121,7 @@
         smol::block_on(send(&self.cluster.instances[at].http, call)).expect("answered")
     }
 
-    /// Runs the command line against all instances.
+    /// Runs a command as an operator, with the addresses of all instances.
     pub fn command(&self, arguments: &[&str]) -> Output {
         let key = self.cluster.folder().join("operator.key");
         std::fs::write(&key, OPERATOR_KEY).expect("written");
@@ -127,18 +130,18 @@
             .env("LYCHEEHUB_TO", self.cluster.addresses().join(","))
             .env("LYCHEEHUB_KEY_FILE", key)
             .output()
-            .expect("runs")
+            .expect("the binary runs")
     }
 }
 
-/// Returns the standard output of a command that must have succeeded.
+/// Returns the standard output of a command; panics if the command has failed.
 pub fn stdout(output: &Output) -> String {
     let error = String::from_utf8_lossy(&output.stderr);
     assert!(output.status.success(), "{error}");
     String::from_utf8_lossy(&output.stdout).into_owned()
 }
 
-/// Returns the time that comes in this many seconds, as the document writes it.
+/// Returns the time in this many seconds in the format of the document.
 pub fn rfc3339_in(seconds: u64) -> String {
     let at = SystemTime::now() + Duration::from_secs(seconds);
     OffsetDateTime::from(at).format(&Rfc3339).expect("a time of this century")
--- a/crates/cli/tests/cli/whole_path.rs
+++ b/crates/cli/tests/cli/whole_path.rs
@@ -1,4 +1,4 @@
-//! The whole path, thin: a golden file of a whole run over three processes.
+//! One run through all features with three processes, compared with a golden file.
 
 use crate::support::{PATIENCE, Site, TRUCK_KEY, document, rfc3339_in, stdout};
 use goldenfile::Mint;
@@ -14,10 +14,10 @@
 }
 
 #[test]
-fn a_whole_run_is_as_in_the_golden_file() {
-    let mut seen = String::new();
+fn an_end_to_end_run_matches_the_golden_file() {
+    let mut transcript = String::new();
     let mut site = Site::start("whole_path", &Layout::default());
-    writeln!(seen, "apply: accepted and in force on 3 instances").unwrap();
+    writeln!(transcript, "apply: accepted and in force on 3 instances").unwrap();
     site.add(Options::default());
     let plain = Options {
         name: "invoices-1".into(),
@@ -26,19 +26,19 @@
         ..Options::default()
     };
     site.add(plain);
-    writeln!(seen, "announce: engine-1 and invoices-1 seen by 3 instances").unwrap();
-    request_streamed(&site, &mut seen);
-    request_whole(&site, &mut seen);
-    plain_service(&site, &mut seen);
-    version_move(&mut site, &mut seen);
-    endpoint_leaving(&site, &mut seen);
-    graceful_stop(&mut site, &mut seen);
+    writeln!(transcript, "announce: engine-1 and invoices-1 seen by 3 instances").unwrap();
+    streamed_request(&site, &mut transcript);
+    buffered_request(&site, &mut transcript);
+    plain_service(&site, &mut transcript);
+    version_move(&mut site, &mut transcript);
+    endpoint_leaving(&site, &mut transcript);
+    graceful_stop(&mut site, &mut transcript);
     let mut mint = Mint::new("tests/cli/golden");
     let mut golden = mint.new_goldenfile("whole_path.txt").expect("golden file");
-    golden.write_all(seen.as_bytes()).expect("written");
+    golden.write_all(transcript.as_bytes()).expect("written");
 }
 
-fn request_streamed(site: &Site, seen: &mut String) {
+fn streamed_request(site: &Site, transcript: &mut String) {
     for at in 0..3 {
         let prompt = format!("label for crate {at}");
         let call = Call::chat("label-writer", &prompt, 5, true).key(TRUCK_KEY);
@@ -46,27 +46,27 @@
         let address = &site.cluster.instances[at].http;
         smol::block_on(stream(address, &call, &mut streamed)).expect("streamed");
         let whole = streamed.done && streamed.text == text_of(&prompt, 5);
-        writeln!(seen, "stream at instance {at}: {} tokens, whole: {whole}", streamed.tokens)
+        writeln!(transcript, "stream at instance {at}: {} tokens, whole: {whole}", streamed.tokens)
             .unwrap();
     }
 }
 
-fn request_whole(site: &Site, seen: &mut String) {
+fn buffered_request(site: &Site, transcript: &mut String) {
     let call = Call::chat("label-writer", "declare lot 7", 4, false).key(TRUCK_KEY);
     let reply = site.send(1, &call);
     let text = reply.json()["choices"][0]["message"]["content"].as_str().unwrap_or("").to_owned();
     let whole = text == text_of("declare lot 7", 4);
-    writeln!(seen, "whole answer: status {}, whole: {whole}", reply.status).unwrap();
+    writeln!(transcript, "whole answer: status {}, whole: {whole}", reply.status).unwrap();
 }
 
-fn plain_service(site: &Site, seen: &mut String) {
+fn plain_service(site: &Site, transcript: &mut String) {
     let call = Call::post("/v1/services/invoices/invoice/17").key(TRUCK_KEY);
     let call = call.header("idempotency-key", "invoice-17").body(b"{\"crates\":40}".to_vec());
     let first = site.send(0, &call);
     let resend = site.send(2, &call);
     let ran = site.records.ran().iter().filter(|ran| ran.path == "/invoice/17").count();
     writeln!(
-        seen,
+        transcript,
         "invoice: status {}, resend elsewhere: status {}, same answer: {}, ran {ran} time",
         first.status,
         resend.status,
@@ -75,7 +75,7 @@
     .unwrap();
 }
 
-fn version_move(site: &mut Site, seen: &mut String) {
+fn version_move(site: &mut Site, transcript: &mut String) {
     let next = Options { name: "engine-2".into(), version: "v2".into(), ..Options::default() };
     site.add(next);
     let order = format!(
@@ -87,14 +87,14 @@
     let shown = stdout(&site.command(&["moves", "--wait", "writer-v2"]));
     let last =
         shown.lines().last().and_then(|line| line.split(' ').next()).unwrap_or("").to_owned();
-    writeln!(seen, "move writer-v2: {last}").unwrap();
+    writeln!(transcript, "move writer-v2: {last}").unwrap();
     let call = Call::chat("label-writer", "after the move", 2, false).key(TRUCK_KEY);
     site.send(0, &call);
     let by = site.records.ran().last().map(|ran| ran.version.clone()).unwrap_or_default();
-    writeln!(seen, "served after the move by {by}").unwrap();
+    writeln!(transcript, "served after the move by {by}").unwrap();
 }
 
-fn endpoint_leaving(site: &Site, seen: &mut String) {
+fn endpoint_leaving(site: &Site, transcript: &mut String) {
     let leaving = &site.endpoints[1];
     leaving.set_faults(Faults { leaving: true, ..Faults::default() });
     let gone = eventually(PATIENCE, || {
@@ -110,7 +110,7 @@
     let reply = site.send(1, &Call::post("/v1/services/invoices/invoice/18").key(TRUCK_KEY));
     let ran = site.records.ran().len() - before;
     writeln!(
-        seen,
+        transcript,
         "invoices-1 leaving, seen by 3: {gone}; next request: {} not run: {}, ran {ran}",
         reply.code().unwrap_or_default(),
         reply.not_run()
@@ -118,7 +118,7 @@
     .unwrap();
 }
 
-fn graceful_stop(site: &mut Site, seen: &mut String) {
+fn graceful_stop(site: &mut Site, transcript: &mut String) {
     let address = site.cluster.instances[0].http.clone();
     let running = std::thread::spawn(move || {
         let call = Call::chat("label-writer", "a long label", 300, true).key(TRUCK_KEY);
@@ -132,7 +132,8 @@
     let exit = site.cluster.wait_exit(0, PATIENCE);
     let (ended, streamed) = running.join().expect("caller");
     let whole = ended && streamed.text == text_of("a long label", 300);
-    writeln!(seen, "stop in the middle of a stream: exit {exit:?}, answer whole: {whole}").unwrap();
+    writeln!(transcript, "stop in the middle of a stream: exit {exit:?}, answer whole: {whole}")
+        .unwrap();
     let call = Call::chat("label-writer", "after the stop", 2, false).key(TRUCK_KEY);
-    writeln!(seen, "other instance serves: status {}", site.send(1, &call).status).unwrap();
+    writeln!(transcript, "other instance serves: status {}", site.send(1, &call).status).unwrap();
 }
