--- a/crates/cli/src/roles/entry.rs
+++ b/crates/cli/src/roles/entry.rs
@@ -128,7 +128,7 @@
 async fn close_old(entry: Rc<Entry>) {
     loop {
         Timer::after(Duration::from_millis(POOL_MS)).await;
-        entry.pool.close_old(entry.clock.now_ms());
+        entry.pool.close_expired(entry.clock.now_ms());
     }
 }
 
--- a/crates/proxy/src/dialect.rs
+++ b/crates/proxy/src/dialect.rs
@@ -1,71 +1,72 @@
-//! The border to the names that a deployment gives to header fields.
+//! The interface to the header fields of a deployment.
 
 use crate::http1::{Headers, RequestHead, ResponseHead};
 use lycheehub_dispatch::PrefixPart;
 use lycheehub_types::{AccountName, EndpointName};
 use smol_str::SmolStr;
 
-/// What a request says of itself.
+/// Metadata that a caller sends in the header fields of a request.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct RequestFields {
-    /// The id of this attempt of the caller.
+    /// The request id; each retry by the caller has its own.
     pub id: SmolStr,
-    /// The caller's key.
+    /// The caller's API key.
     pub key: Option<SmolStr>,
-    /// How long the caller waits, in milliseconds.
+    /// Time for which the caller waits for the response, in milliseconds.
     pub deadline_ms: Option<u64>,
-    /// The length of the prompt, in tokens, where there is one.
+    /// Length of the prompt in tokens, if the request declares it.
     pub prompt_tokens: Option<u32>,
-    /// The longest answer, in tokens, where the request tells it.
+    /// Maximum output length in tokens, if the request declares it.
     pub output_max_tokens: Option<u32>,
-    /// The likely length of the answer, in tokens, where the caller has an idea of it.
+    /// Expected output length in tokens, if the caller gives an estimate.
     pub output_hint_tokens: Option<u32>,
     /// The parts of the prompt, in order.
     pub prefix: Vec<PrefixPart>,
-    /// The id of the last event that the caller has, where it goes on with a stream.
+    /// The id of the last event that the caller received, if it resumes a stream.
     pub last_event_id: Option<SmolStr>,
 }
 
-/// What an endpoint is told beside what the caller sent.
+/// Metadata that is added to a request sent to an endpoint.
 #[derive(Clone, Debug, PartialEq)]
-pub struct OnwardFields {
+pub struct ForwardedFields {
     /// The client account.
     pub account: Option<AccountName>,
-    /// The time left, in milliseconds.
+    /// Time left until the deadline, in milliseconds.
     pub deadline_left_ms: u64,
-    /// The endpoint that is meant.
+    /// The endpoint that the request is addressed to.
     pub endpoint: EndpointName,
-    /// The last event that the caller has been sent, where a stream goes on.
+    /// The id of the last event that the caller has received, if a stream is resumed.
     pub last_event_id: Option<SmolStr>,
 }
 
-/// What an endpoint's answer says of itself.
+/// Metadata in the header fields of an endpoint's response.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct AnswerFields {
-    /// The id of the request that it answers.
+pub struct ResponseFields {
+    /// The id of the request that this is the response to.
     pub id: Option<SmolStr>,
-    /// The request has not run there.
+    /// The endpoint did not run the request.
     pub not_run: bool,
-    /// Another endpoint than the one that was meant has answered.
+    /// The response comes from another endpoint than the one addressed.
     pub misdirected: bool,
-    /// The endpoint leaves, and wants no new requests.
+    /// The endpoint is shutting down and accepts no new requests.
     pub leaving: bool,
 }
 
-/// The names of a deployment.
+/// Reads and writes the header fields of a deployment.
 pub trait Dialect: std::fmt::Debug {
-    /// Reads what a request says of itself.
+    /// Reads the metadata of a caller's request.
     fn read_request(&self, head: &RequestHead) -> RequestFields;
 
-    /// Tells whether a header field of callers is not passed on, since it is not theirs to set.
-    fn is_kept_back(&self, name: &str) -> bool;
+    /// Returns whether a header field is removed from callers' requests because callers may not set
+    /// it.
+    fn is_stripped(&self, name: &str) -> bool;
 
-    /// Adds what an endpoint is told beside what the caller sent.
-    fn add_onward(&self, headers: &mut Headers, fields: &OnwardFields);
+    /// Adds the metadata for the endpoint to a forwarded request.
+    fn add_forwarded(&self, headers: &mut Headers, fields: &ForwardedFields);
 
-    /// Reads what an endpoint's answer says of itself.
-    fn read_answer(&self, head: &ResponseHead) -> AnswerFields;
+    /// Reads the metadata of an endpoint's response.
+    fn read_response(&self, head: &ResponseHead) -> ResponseFields;
 
-    /// Adds what a caller is told beside an answer of this instance's own.
-    fn add_own(&self, headers: &mut Headers, id: &str);
+    /// Adds the metadata of a response that this instance generates itself.
+    fn add_local(&self, headers: &mut Headers, id: &str);
 }
--- a/crates/proxy/src/entry.rs
+++ b/crates/proxy/src/entry.rs
@@ -1,4 +1,4 @@
-//! What all connections of an entry instance share.
+//! State shared by all connections of an entry instance.
 
 use crate::dialect::Dialect;
 use crate::labels::Labels;
@@ -15,78 +15,79 @@
 use std::rc::Rc;
 use std::sync::Arc;
 
-/// How many client accounts metrics name: with each a line of some 70 bytes.
+/// Maximum number of client accounts with their own metric label value. Each adds a line of about
+/// 70 bytes to the metrics output.
 const ACCOUNT_LABELS_MAX: usize = 256;
 
-/// Bounds of an entry instance.
+/// Identity and limits of an entry instance.
 #[derive(Clone, Debug)]
 pub struct Options {
     /// This instance's name.
     pub instance: InstanceName,
-    /// Where it runs.
+    /// The failure domain in which this instance runs.
     pub failure_domain: FailureDomain,
-    /// The most connections of callers at once.
+    /// Maximum number of concurrent connections from callers.
     pub connections_max: usize,
-    /// How long an endpoint may take to accept a connection, in milliseconds.
+    /// Time limit for connecting to an endpoint, in milliseconds.
     pub connect_timeout_ms: u64,
 }
 
-/// What requests are answered by at one moment.
+/// The routing state at one point in time.
 #[derive(Clone, Debug, Default)]
 pub struct Snapshot {
-    /// The route document.
+    /// The routes, built from the route document.
     pub table: Arc<RouteTable>,
     /// The revision of the document, for logs.
     pub revision: u64,
-    /// The document is known to be recent.
+    /// Whether the document is known to be recent.
     pub is_ready: bool,
 }
 
-/// Where snapshots come from.
+/// Source of routing snapshots.
 pub trait Snapshots {
-    /// Returns the newest snapshot.
+    /// Returns the latest snapshot.
     fn latest(&self) -> Snapshot;
 }
 
-/// When an instance that is being stopped does what, in milliseconds by its clock.
+/// Schedule of a graceful shutdown, in milliseconds of the instance's clock.
 #[derive(Clone, Copy, Debug)]
 pub struct Stop {
-    /// From when on it takes only requests that end before its own end.
+    /// From this time on, a request is refused if it may still run at `ends_ms`.
     pub refuses_from_ms: u64,
-    /// When it ends.
+    /// The time at which the instance exits.
     pub ends_ms: u64,
 }
 
 /// An entry instance.
 pub struct Entry {
-    /// Bounds.
+    /// Identity and limits.
     pub options: Options,
     /// The clock.
     pub clock: Clock,
-    /// The names of header fields.
+    /// The deployment's header fields.
     pub dialect: Box<dyn Dialect>,
-    /// Where snapshots come from.
+    /// Source of routing snapshots.
     pub snapshots: Box<dyn Snapshots>,
-    /// Who places requests.
+    /// Chooses an endpoint for each request.
     pub placement: Rc<dyn Placement>,
     /// Idle connections to endpoints.
     pub pool: Pool,
-    /// Runs the tasks of connections.
+    /// Executor for the connection tasks.
     pub executor: Rc<LocalExecutor<'static>>,
-    /// How many connections of callers are open.
+    /// Number of open connections from callers.
     pub connections: Cell<usize>,
-    /// How many requests are being answered.
+    /// Number of requests in progress.
     pub exchanges: Cell<usize>,
     stop: Cell<Option<Stop>>,
-    idle_end: (Sender<()>, Receiver<()>),
-    /// The longest deadline that callers of each route came with, in milliseconds.
+    idle_close: (Sender<()>, Receiver<()>),
+    /// The longest deadline seen on each route, in milliseconds.
     deadlines_ms: RefCell<BTreeMap<SmolStr, u64>>,
-    /// The client accounts that metrics name.
+    /// The client accounts that have their own metric label value.
     account_labels: RefCell<Labels>,
 }
 
 impl Entry {
-    /// Makes an entry instance without any connections.
+    /// Creates an entry instance without connections.
     pub fn new(
         options: Options,
         clock: Clock,
@@ -106,71 +107,73 @@
             connections: Cell::new(0),
             exchanges: Cell::new(0),
             stop: Cell::new(None),
-            idle_end: bounded(1),
+            idle_close: bounded(1),
             deadlines_ms: RefCell::default(),
             account_labels: RefCell::new(Labels::new(ACCOUNT_LABELS_MAX)),
         })
     }
 
-    /// Tells whether the balancer may send new connections.
+    /// Returns whether the load balancer may send new connections.
     pub fn is_ready(&self) -> bool {
         !self.is_stopping() && self.snapshots.latest().is_ready
     }
 
-    /// Counts a request that was refused for the quota of its account.
-    pub(crate) fn count_over_quota(&self, account: &SmolStr) {
+    /// Counts a request that was refused because its account exceeded its quota.
+    pub(crate) fn count_quota_refusal(&self, account: &SmolStr) {
         let account = self.account_labels.borrow_mut().value(account).to_string();
         metrics::counter!("lycheehub_quota_refusals_total", "account" => account).increment(1);
     }
 
-    /// Notes the deadline of a request; returns the longest one of its route, in milliseconds.
-    pub(crate) fn note_deadline(&self, route: &SmolStr, deadline_ms: u64) -> u64 {
+    /// Records the deadline of a request; returns the longest deadline seen on its route, in
+    /// milliseconds.
+    pub(crate) fn record_deadline(&self, route: &SmolStr, deadline_ms: u64) -> u64 {
         let mut deadlines_ms = self.deadlines_ms.borrow_mut();
         let longest_ms = deadlines_ms.entry(route.clone()).or_default();
         *longest_ms = deadline_ms.max(*longest_ms);
         *longest_ms
     }
 
-    /// Begins to stop: answers are the last ones on their connections from now on.
+    /// Begins a graceful shutdown: every response from now on closes its connection.
     pub fn begin_stop(&self, stop: Stop) {
         self.stop.set(Some(stop));
     }
 
-    /// Tells whether the instance is being stopped.
+    /// Returns whether the instance is shutting down.
     pub fn is_stopping(&self) -> bool {
         self.stop.get().is_some()
     }
 
-    /// Tells whether a request that may take `for_ms` comes too late to be answered before the end.
-    pub(crate) fn is_too_late(&self, for_ms: u64) -> bool {
+    /// Returns whether a request that takes up to `duration_ms` may still run when the instance exits.
+    /// Always false before `refuses_from_ms`.
+    pub(crate) fn would_outlast_stop(&self, duration_ms: u64) -> bool {
         let now_ms = self.clock.now_ms();
         let stop = self.stop.get().filter(|stop| now_ms >= stop.refuses_from_ms);
-        stop.is_some_and(|stop| now_ms + for_ms > stop.ends_ms)
+        stop.is_some_and(|stop| now_ms + duration_ms > stop.ends_ms)
     }
 
-    /// Closes the connections that have no request, now and from now on.
+    /// Closes idle connections from callers, now and whenever one becomes idle.
     pub fn close_idle(&self) {
-        self.idle_end.0.close();
+        self.idle_close.0.close();
     }
 
-    /// Waits until idle connections are to be closed.
-    pub(crate) async fn idle_closed(&self) {
-        // Nothing is ever sent: the channel closes.
-        let _ = self.idle_end.1.recv().await;
+    /// Waits until `close_idle` is called.
+    pub(crate) async fn idle_close_requested(&self) {
+        // No value is ever sent; `recv` returns once the channel is closed.
+        let _ = self.idle_close.1.recv().await;
     }
 }
 
-/// Counts something as long as it lives.
-pub(crate) struct Counted<'a>(&'a Cell<usize>);
+/// Increments a counter, and decrements it again when dropped.
+pub(crate) struct CountGuard<'a>(&'a Cell<usize>);
 
-impl<'a> Counted<'a> {
+impl<'a> CountGuard<'a> {
     pub(crate) fn new(count: &'a Cell<usize>) -> Self {
         count.set(count.get() + 1);
         Self(count)
     }
 }
 
-impl Drop for Counted<'_> {
+impl Drop for CountGuard<'_> {
     fn drop(&mut self) {
         self.0.set(self.0.get() - 1);
     }
--- a/crates/proxy/src/exchange/trail.rs
+++ b/crates/proxy/src/exchange/access_log.rs
@@ -1,15 +1,15 @@
-//! What is logged and counted of a request: one line when it ends.
+//! Access log: one line and the metrics of each request, written when it ends.
 
-use super::filters::Identified;
+use super::filters::ResolvedRequest;
 use crate::Entry;
 use lycheehub_dispatch::{Job, Outcome};
 use lycheehub_types::{EndpointName, Refusal, RefusalKind};
 use smol_str::{SmolStr, format_smolstr};
 use std::fmt::Write;
 
-/// What happened to a request.
+/// The access log record of a request.
 #[derive(Debug)]
-pub(super) struct Trail {
+pub(super) struct AccessLog {
     id: SmolStr,
     started_ms: u64,
     route: SmolStr,
@@ -19,26 +19,26 @@
     rank: u8,
     waited_ms: u64,
     first_byte_ms: Option<u64>,
-    /// How long the request took to be read.
+    /// Time taken to receive the request.
     read_ms: u64,
     /// The longest write to the caller.
     write_ms: u64,
-    /// The longest pause between events of a stream.
+    /// The longest time between two events of a stream.
     pause_ms: u64,
     attempts: String,
     end: SmolStr,
     retry_after_ms: u64,
-    /// The events of a stream that were passed on.
+    /// Number of stream events relayed.
     events: u32,
-    /// The tokens that the request is counted by.
+    /// The declared tokens, by which the quota is charged.
     tokens: u64,
-    /// The likely length of the answer.
+    /// Expected output length, in tokens.
     output_tokens: u32,
     deadline_ms: u64,
     returning: bool,
 }
 
-impl Trail {
+impl AccessLog {
     pub(super) fn new(id: &SmolStr, started_ms: u64, read_ms: u64) -> Self {
         Self {
             id: id.clone(),
@@ -64,62 +64,67 @@
         }
     }
 
-    pub(super) fn note_route(&mut self, identified: &Identified) {
-        self.route = identified.route.name.clone();
-        self.service = identified.service.as_str().into();
-        self.account = identified.account.as_ref().map_or("", |name| name.as_str()).into();
-        self.tier = identified.tier;
-        self.rank = identified.route.rank;
+    pub(super) fn record_route(&mut self, resolved: &ResolvedRequest) {
+        self.route = resolved.route.name.clone();
+        self.service = resolved.service.as_str().into();
+        self.account = resolved.account.as_ref().map_or("", |name| name.as_str()).into();
+        self.tier = resolved.tier;
+        self.rank = resolved.route.rank;
     }
 
-    /// Notes what the decision is made by.
-    pub(super) fn note_job(&mut self, job: &Job) {
+    /// Records the inputs of the placement decision.
+    pub(super) fn record_job(&mut self, job: &Job) {
         self.tokens = job.declared_tokens.unwrap_or_default();
         self.output_tokens = job.output_tokens;
         self.deadline_ms = job.deadline_left_ms;
         self.returning = job.returning;
     }
 
-    pub(super) fn note_wait(&mut self, waited_ms: u64) {
+    pub(super) fn record_wait(&mut self, waited_ms: u64) {
         self.waited_ms += waited_ms;
     }
 
-    pub(super) fn note_attempt(&mut self, endpoint: &EndpointName, outcome: Outcome, took_ms: u64) {
+    pub(super) fn record_attempt(
+        &mut self,
+        endpoint: &EndpointName,
+        outcome: Outcome,
+        took_ms: u64,
+    ) {
         // Writing to a string cannot fail.
         let _ = write!(self.attempts, "{endpoint}={outcome:?}@{took_ms}ms ");
     }
 
-    pub(super) fn note_first_byte(&mut self, now_ms: u64) {
+    pub(super) fn record_first_byte(&mut self, now_ms: u64) {
         self.first_byte_ms.get_or_insert(now_ms - self.started_ms);
     }
 
-    pub(super) fn note_events(&mut self, events: u32, pause_ms: u64) {
+    pub(super) fn record_events(&mut self, events: u32, pause_ms: u64) {
         self.events += events;
         self.pause_ms = self.pause_ms.max(pause_ms);
     }
 
-    pub(super) fn note_write(&mut self, took_ms: u64) {
+    pub(super) fn record_write(&mut self, took_ms: u64) {
         self.write_ms = self.write_ms.max(took_ms);
     }
 
-    pub(super) fn note_refusal(&mut self, refusal: &Refusal) {
+    pub(super) fn record_refusal(&mut self, refusal: &Refusal) {
         self.end = SmolStr::new(refusal.kind().code());
         self.retry_after_ms = refusal.retry_after_ms().unwrap_or_default();
     }
 
-    pub(super) fn note_status(&mut self, status: u16) {
+    pub(super) fn record_status(&mut self, status: u16) {
         self.end = format_smolstr!("{status}");
     }
 
-    pub(super) fn note_end(&mut self, end: &'static str) {
+    pub(super) fn record_end(&mut self, end: &'static str) {
         self.end = SmolStr::new_static(end);
     }
 
-    /// Writes the line and counts the request.
+    /// Writes the log line and updates the metrics.
     pub(super) fn log(&self, entry: &Entry, revision: u64) {
         let total_ms = entry.clock.now_ms() - self.started_ms;
         if self.end == RefusalKind::QuotaExceeded.code() {
-            entry.count_over_quota(&self.account);
+            entry.count_quota_refusal(&self.account);
         }
         let labels = [
             ("service", self.service.to_string()),
--- a/crates/proxy/src/exchange/attempt.rs
+++ b/crates/proxy/src/exchange/attempt.rs
@@ -1,11 +1,11 @@
-//! One attempt: sends the request to an endpoint and takes its answer.
+//! One attempt: sends the request to an endpoint and receives its response.
 
-use super::filters::Identified;
-use super::guard::{Interrupted, guard};
+use super::filters::ResolvedRequest;
+use super::guard::{Interrupted, run_interruptible};
 use super::relay::StreamState;
-use super::send::{Answered, send};
+use super::send::{ResponseStart, send};
 use super::{Exchange, Placed};
-use crate::dialect::OnwardFields;
+use crate::dialect::ForwardedFields;
 use crate::entry::Entry;
 use crate::http1::{Body, Connection, Error, ResponseHead};
 use crate::pool;
@@ -16,42 +16,45 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// The longest answer that is read whole before it is passed on, in bytes.
-const WHOLE_MAX_BYTES: usize = 256 * 1024;
-/// When a caller comes back whose request no endpoint took, where none says it, in milliseconds.
+/// Maximum size of a response that is buffered completely before it is relayed, in bytes.
+const BUFFERED_MAX_BYTES: usize = 256 * 1024;
+/// Delay in milliseconds after which a caller may retry a request that no endpoint ran, unless the
+/// endpoint states one.
 const RETRY_AFTER_MS: u64 = 500;
-/// The latest that it is told, in milliseconds: endpoints may be gone by then, and others there.
+/// Upper bound of that delay, in milliseconds: the set of endpoints may have changed by then.
 const RETRY_AFTER_MAX_MS: u64 = 30_000;
-/// How much longer than expected an answer may take before it counts as stalled, as a factor.
+/// Factor by which a response may exceed its expected time before it counts as stalled.
 const STALL_FACTOR: u64 = 3;
-/// How much longer it may take besides, in milliseconds, for a whole answer and for a first event.
-const STALL_ANSWER_MS: u64 = 250;
-const STALL_EVENT_MS: u64 = 900;
+/// Constant time added to that limit for a response that is no stream, in milliseconds.
+const STALL_RESPONSE_MARGIN_MS: u64 = 250;
+/// Constant time added to that limit for the first event of a stream, in milliseconds.
+const STALL_EVENT_MARGIN_MS: u64 = 900;
 
-/// An answer that was read whole and is kept in case no other endpoint gives a better one.
+/// A completely received response. That of a failed attempt is kept and relayed if no other endpoint
+/// gives a better one.
 #[derive(Debug)]
-pub(super) struct Held {
+pub(super) struct BufferedResponse {
     pub(super) head: ResponseHead,
     pub(super) body: Vec<u8>,
 }
 
 /// How an attempt ended.
 pub(super) enum AttemptEnd {
-    /// The caller has its answer, or as much of it as there is.
+    /// The response was relayed, at least in part, and no further attempt follows.
     Answered { keeps_alive: bool },
-    /// The caller left, or its time was over.
+    /// The caller disconnected, or the deadline passed.
     Interrupted(Interrupted),
     /// No connection could be made to the endpoint.
     NotSent(EndpointName),
-    /// The endpoint has said meanwhile that it wants nothing; nothing was sent.
-    Barred,
-    /// The endpoint says that it did not run the request.
+    /// The endpoint became excluded from placement while connecting; nothing was sent.
+    Excluded,
+    /// The endpoint states that it did not run the request.
     NotRun { endpoint: EndpointName, retry_after_ms: u64 },
     /// The endpoint failed, and may have run the request.
-    Failed { endpoint: EndpointName, answer: Option<Held> },
+    Failed { endpoint: EndpointName, response: Option<BufferedResponse> },
 }
 
-/// An attempt under way; reported as abandoned where it is dropped.
+/// An attempt in progress; reported as abandoned if it is dropped without a report.
 pub(super) struct Attempt {
     entry: Rc<Entry>,
     job_id: JobId,
@@ -80,14 +83,14 @@
         }
     }
 
-    pub(super) fn note_first_byte(&self, now_ms: u64) {
+    pub(super) fn record_first_byte(&self, now_ms: u64) {
         if self.first_byte_ms.get().is_none() {
             self.first_byte_ms.set(Some(now_ms));
         }
     }
 
-    pub(super) fn note_event(&self, now_ms: u64) {
-        self.note_first_byte(now_ms);
+    pub(super) fn record_event(&self, now_ms: u64) {
+        self.record_first_byte(now_ms);
         if self.events.get() > 0 {
             let pause_ms = now_ms - self.last_event_ms.get();
             self.pause_ms.set(self.pause_ms.get().max(pause_ms));
@@ -96,7 +99,7 @@
         self.events.set(self.events.get() + 1);
     }
 
-    /// Reports how the attempt ended; returns how long it took, in milliseconds.
+    /// Reports the outcome of the attempt, once; returns its duration in milliseconds.
     pub(super) fn report(&self, outcome: Outcome) -> u64 {
         let now_ms = self.entry.clock.now_ms();
         let took_ms = now_ms - self.sent_ms;
@@ -104,12 +107,12 @@
             return took_ms;
         }
         let first_ms = self.first_byte_ms.get();
-        let short = |ms: u64| u32::try_from(ms).unwrap_or(u32::MAX);
+        let to_u32 = |ms: u64| u32::try_from(ms).unwrap_or(u32::MAX);
         self.entry.placement.finish(Finished {
             job_id: self.job_id,
             outcome,
-            first_byte_ms: first_ms.map(|first_ms| short(first_ms - self.sent_ms)),
-            rest_ms: first_ms.map_or(0, |first_ms| short(now_ms - first_ms)),
+            first_byte_ms: first_ms.map(|first_ms| to_u32(first_ms - self.sent_ms)),
+            rest_ms: first_ms.map_or(0, |first_ms| to_u32(now_ms - first_ms)),
             events: self.events.get().saturating_sub(1),
         });
         took_ms
@@ -122,47 +125,47 @@
     }
 }
 
-/// When an attempt counts as stalled, and what follows.
+/// When an attempt counts as stalled, and whether it is then ended.
 #[derive(Clone, Copy)]
 struct StallWatch {
     stall_ms: u64,
-    /// The request can move to another endpoint then.
+    /// Whether a stalled request can move to another endpoint.
     can_move: bool,
 }
 
 impl Exchange<'_> {
-    /// Sends the request to an endpoint and relays its answer; `last` tells that there is no
-    /// further attempt.
+    /// Sends the request to an endpoint and relays the response.
     pub(super) async fn attempt(
         &mut self,
         caller: &mut Connection,
-        identified: &Identified,
+        resolved: &ResolvedRequest,
         placed: Placed,
         stream: &mut StreamState,
-        last: bool,
+        is_last_attempt: bool,
     ) -> AttemptEnd {
         let attempt = Attempt::new(self.entry, &placed);
-        let end = self.try_endpoint(caller, identified, &placed, &attempt, stream, last).await;
+        let end =
+            self.try_endpoint(caller, resolved, &placed, &attempt, stream, is_last_attempt).await;
         let outcome = outcome_of(&end);
         let took_ms = attempt.report(outcome);
-        self.trail.note_attempt(&placed.endpoint, outcome, took_ms);
+        self.access_log.record_attempt(&placed.endpoint, outcome, took_ms);
         end
     }
 
     async fn try_endpoint(
         &mut self,
         caller: &mut Connection,
-        identified: &Identified,
+        resolved: &ResolvedRequest,
         placed: &Placed,
         attempt: &Attempt,
         stream: &mut StreamState,
-        last: bool,
+        is_last_attempt: bool,
     ) -> AttemptEnd {
-        let kind = identified.route.kind;
+        let kind = resolved.route.kind;
         let endpoint = placed.endpoint.clone();
-        let connecting = self.connect(placed, kind.may_repeat());
-        let connected = guard(self.entry, caller, self.deadline_ms, connecting).await;
-        let (mut upstream, is_fresh) = match connected {
+        let connect = self.connect(placed, kind.may_repeat());
+        let connected = run_interruptible(self.entry, caller, self.deadline_ms, connect).await;
+        let (mut upstream, is_new) = match connected {
             Err(why) => return AttemptEnd::Interrupted(why),
             Ok(Err(error)) => {
                 spdlog::info!("endpoint not reached", kv: { id: = self.fields.id, error: = error });
@@ -172,54 +175,54 @@
             Ok(Ok(connected)) => connected,
         };
         if self.entry.placement.is_excluded(&endpoint) {
-            return AttemptEnd::Barred;
+            return AttemptEnd::Excluded;
         }
-        let request = self.onward(identified, placed, stream);
-        let can_move = kind.may_repeat() && !last;
-        let exchanged = send(&mut upstream, &request, |head| {
-            let id = self.entry.dialect.read_answer(head).id;
-            id.map_or(is_fresh, |id| id == self.fields.id)
+        let request = self.request_bytes(resolved, placed, stream);
+        let can_move = kind.may_repeat() && !is_last_attempt;
+        let response = send(&mut upstream, &request, |head| {
+            let id = self.entry.dialect.read_response(head).id;
+            id.map_or(is_new, |id| id == self.fields.id)
         });
         let stall_ms = stall_ms(placed.first_byte_ms, kind.is_stream());
         let watch = StallWatch { stall_ms, can_move };
-        let watched = self.watch_stall(attempt, watch, exchanged);
-        let answered = match guard(self.entry, caller, self.deadline_ms, watched).await {
+        let work = self.watch_stall(attempt, watch, response);
+        let response = match run_interruptible(self.entry, caller, self.deadline_ms, work).await {
             Err(why) => return AttemptEnd::Interrupted(why),
-            Ok(Some(Ok(answered))) => answered,
+            Ok(Some(Ok(response))) => response,
             Ok(Some(Err(error))) => {
                 spdlog::info!("no answer from endpoint", kv: { id: = self.fields.id, error: = error });
                 attempt.report(Outcome::Broken);
-                return AttemptEnd::Failed { endpoint, answer: None };
+                return AttemptEnd::Failed { endpoint, response: None };
             }
             Ok(None) => {
                 attempt.report(Outcome::Broken);
-                return AttemptEnd::Failed { endpoint, answer: None };
+                return AttemptEnd::Failed { endpoint, response: None };
             }
         };
-        let fields = self.entry.dialect.read_answer(&answered.head);
-        self.heed(&endpoint, &answered.head, fields.leaving);
+        let fields = self.entry.dialect.read_response(&response.head);
+        self.record_notice(&endpoint, &response.head, fields.leaving);
         if fields.not_run || fields.misdirected {
             let misdirected = Outcome::Misdirected;
             attempt.report(if fields.misdirected { misdirected } else { Outcome::Rejected });
-            let retry_after_ms = answered.head.retry_after_ms().unwrap_or(RETRY_AFTER_MS);
+            let retry_after_ms = response.head.retry_after_ms().unwrap_or(RETRY_AFTER_MS);
             let retry_after_ms = retry_after_ms.min(RETRY_AFTER_MAX_MS);
-            self.put_back(attempt, upstream, answered).await;
+            self.discard_and_release(attempt, upstream, response).await;
             return AttemptEnd::NotRun { endpoint, retry_after_ms };
         }
-        if kind.is_stream() && answered.head.status == 200 {
+        if kind.is_stream() && response.head.status == 200 {
             return self
-                .relay_stream(caller, upstream, answered.head, attempt, stream, can_move)
+                .relay_stream(caller, upstream, response.head, attempt, stream, can_move)
                 .await;
         }
-        if stream.has_begun() {
+        if stream.has_started() {
             attempt.report(Outcome::Failed);
-            return AttemptEnd::Failed { endpoint, answer: None };
+            return AttemptEnd::Failed { endpoint, response: None };
         }
-        self.relay_whole(caller, upstream, answered, attempt, watch, kind.may_repeat()).await
+        self.buffer_and_relay(caller, upstream, response, attempt, watch, kind.may_repeat()).await
     }
 
-    /// Passes on what the endpoint says of itself.
-    fn heed(&self, endpoint: &EndpointName, head: &ResponseHead, leaving: bool) {
+    /// Reports to the placement that the endpoint is leaving or asks for a pause.
+    fn record_notice(&self, endpoint: &EndpointName, head: &ResponseHead, leaving: bool) {
         const UNAVAILABLE: u16 = 503;
         let pause_ms = head.retry_after_ms().filter(|_| head.status == UNAVAILABLE);
         let notice = Notice { leaving, pause_ms };
@@ -232,7 +235,7 @@
         self.entry.placement.record_notice(endpoint, notice);
     }
 
-    /// Takes an idle connection, or makes one; tells whether it is a new one.
+    /// Takes an idle connection or opens one; returns whether it is new.
     async fn connect(
         &self,
         placed: &Placed,
@@ -247,15 +250,20 @@
         Ok((pool::connect(&placed.address, timeout_ms).await?, true))
     }
 
-    /// Returns the request that the endpoint is sent.
-    fn onward(&self, identified: &Identified, placed: &Placed, stream: &StreamState) -> Vec<u8> {
+    /// Returns the bytes of the request to send to the endpoint.
+    fn request_bytes(
+        &self,
+        resolved: &ResolvedRequest,
+        placed: &Placed,
+        stream: &StreamState,
+    ) -> Vec<u8> {
         let dialect = &self.entry.dialect;
-        let mut headers = self.head.headers.onward(|name| dialect.is_kept_back(name));
+        let mut headers = self.head.headers.forwarded(|name| dialect.is_stripped(name));
         let left_ms = self.deadline_ms.saturating_sub(self.entry.clock.now_ms());
-        dialect.add_onward(
+        dialect.add_forwarded(
             &mut headers,
-            &OnwardFields {
-                account: identified.account.clone(),
+            &ForwardedFields {
+                account: resolved.account.clone(),
                 deadline_left_ms: left_ms.max(1),
                 endpoint: placed.endpoint.clone(),
                 last_event_id: stream.last_event_id().cloned(),
@@ -272,7 +280,7 @@
         bytes
     }
 
-    /// Reports an attempt that takes much longer than expected; ends it where the request can move
+    /// Reports an attempt that takes much longer than expected, and ends it if the request can move
     /// to another endpoint.
     async fn watch_stall<T>(
         &self,
@@ -294,88 +302,97 @@
         smol::future::or(done, stalled).await
     }
 
-    /// Reads an answer whole and passes it on; one that is too long for that as it comes.
-    async fn relay_whole(
+    /// Buffers a response and relays it; one that is too long to buffer is relayed as it arrives.
+    async fn buffer_and_relay(
         &mut self,
         caller: &mut Connection,
         mut upstream: Connection,
-        answered: Answered,
+        response: ResponseStart,
         attempt: &Attempt,
         watch: StallWatch,
         may_repeat: bool,
     ) -> AttemptEnd {
         let endpoint = attempt.endpoint.clone();
-        attempt.note_first_byte(self.entry.clock.now_ms());
-        let mut reading = Body::new(if self.head.method == "HEAD" {
+        attempt.record_first_byte(self.entry.clock.now_ms());
+        let mut reader = Body::new(if self.head.method == "HEAD" {
             crate::http1::Framing::Length(0)
         } else {
-            answered.head.framing
+            response.head.framing
         });
         let mut body = Vec::new();
         let read = async {
-            while body.len() <= WHOLE_MAX_BYTES && reading.next(&mut upstream, &mut body).await? {}
+            while body.len() <= BUFFERED_MAX_BYTES && reader.next(&mut upstream, &mut body).await? {
+            }
             Ok::<(), Error>(())
         };
-        let watched = self.watch_stall(attempt, watch, read);
-        match guard(self.entry, caller, self.deadline_ms, watched).await {
+        let work = self.watch_stall(attempt, watch, read);
+        match run_interruptible(self.entry, caller, self.deadline_ms, work).await {
             Err(why) => return AttemptEnd::Interrupted(why),
             Ok(None) => {
                 attempt.report(Outcome::Broken);
-                return AttemptEnd::Failed { endpoint, answer: None };
+                return AttemptEnd::Failed { endpoint, response: None };
             }
             Ok(Some(Err(error))) => {
                 spdlog::info!("answer not whole", kv: { id: = self.fields.id, error: = error });
                 attempt.report(Outcome::Broken);
-                return AttemptEnd::Failed { endpoint, answer: None };
+                return AttemptEnd::Failed { endpoint, response: None };
             }
             Ok(Some(Ok(()))) => {}
         }
-        if !reading.is_at_end() {
-            return self.relay_long(caller, upstream, answered.head, reading, body, attempt).await;
+        if !reader.is_at_end() {
+            return self
+                .relay_unbuffered(caller, upstream, response.head, reader, body, attempt)
+                .await;
         }
-        let failed = answered.head.status >= 500;
+        let failed = response.head.status >= 500;
         attempt.report(if failed { Outcome::Failed } else { Outcome::Answered });
-        let held = Held { head: answered.head.clone(), body };
-        self.put_back_read(attempt, upstream, &answered);
+        let buffered = BufferedResponse { head: response.head.clone(), body };
+        self.release(attempt, upstream, &response);
         if failed && may_repeat {
-            return AttemptEnd::Failed { endpoint, answer: Some(held) };
+            return AttemptEnd::Failed { endpoint, response: Some(buffered) };
         }
-        AttemptEnd::Answered { keeps_alive: self.relay_held(caller, &held).await }
+        AttemptEnd::Answered { keeps_alive: self.relay_buffered(caller, &buffered).await }
     }
 
-    /// Reads what is left of an answer that is not used, and keeps its connection.
-    async fn put_back(&self, attempt: &Attempt, mut upstream: Connection, answered: Answered) {
+    /// Discards the body of an unused response so that its connection can be reused.
+    async fn discard_and_release(
+        &self,
+        attempt: &Attempt,
+        mut upstream: Connection,
+        response: ResponseStart,
+    ) {
         const READ_MS: u64 = 20;
         const READ_MAX_BYTES: usize = 4_096;
-        let body = Body::new(answered.head.framing).read_whole(&mut upstream, READ_MAX_BYTES);
+        let body = Body::new(response.head.framing).read_whole(&mut upstream, READ_MAX_BYTES);
         if matches!(lycheehub_clock::within(READ_MS, body).await, Some(Ok(_))) {
-            self.put_back_read(attempt, upstream, &answered);
+            self.release(attempt, upstream, &response);
         }
     }
 
-    /// Keeps a connection whose answer was read to its end, where nothing else came over it.
-    fn put_back_read(&self, attempt: &Attempt, upstream: Connection, answered: &Answered) {
-        let is_clean = upstream.unused().is_empty() && !answered.is_early;
-        if is_clean && answered.head.keeps_alive {
+    /// Returns a connection to the pool after its response was read completely, unless further bytes
+    /// arrived on it or the endpoint responded before it had the complete request.
+    fn release(&self, attempt: &Attempt, upstream: Connection, response: &ResponseStart) {
+        let is_clean = upstream.buffered().is_empty() && !response.is_early;
+        if is_clean && response.head.keeps_alive {
             let now_ms = self.entry.clock.now_ms();
-            let timeout_ms = answered.head.idle_timeout_ms();
+            let timeout_ms = response.head.idle_timeout_ms();
             self.entry.pool.put(now_ms, &attempt.endpoint, upstream, timeout_ms);
         }
     }
 }
 
 fn stall_ms(expected_ms: u64, is_stream: bool) -> u64 {
-    let besides_ms = if is_stream { STALL_EVENT_MS } else { STALL_ANSWER_MS };
-    STALL_FACTOR * expected_ms + besides_ms
+    let margin_ms = if is_stream { STALL_EVENT_MARGIN_MS } else { STALL_RESPONSE_MARGIN_MS };
+    STALL_FACTOR * expected_ms + margin_ms
 }
 
 fn outcome_of(end: &AttemptEnd) -> Outcome {
     match end {
         AttemptEnd::Answered { .. } => Outcome::Answered,
-        AttemptEnd::Interrupted(_) | AttemptEnd::Barred => Outcome::Abandoned,
+        AttemptEnd::Interrupted(_) | AttemptEnd::Excluded => Outcome::Abandoned,
         AttemptEnd::NotSent(_) => Outcome::NotConnected,
         AttemptEnd::NotRun { .. } => Outcome::Rejected,
-        AttemptEnd::Failed { answer: Some(_), .. } => Outcome::Failed,
-        AttemptEnd::Failed { answer: None, .. } => Outcome::Broken,
+        AttemptEnd::Failed { response: Some(_), .. } => Outcome::Failed,
+        AttemptEnd::Failed { response: None, .. } => Outcome::Broken,
     }
 }
--- a/crates/proxy/src/exchange/filters.rs
+++ b/crates/proxy/src/exchange/filters.rs
@@ -1,31 +1,31 @@
-//! The chain of filters that a request passes before it is placed.
+//! Filters that a request passes before it is placed.
 
 use super::Exchange;
 use lycheehub_routes::RouteSpec;
 use lycheehub_routes::table::choose_target;
 use lycheehub_types::{AccountName, Refusal, RefusalKind, ServiceName};
 
-/// What the chain finds out.
+/// The route, service and account of a request.
 #[derive(Clone, Debug)]
-pub(super) struct Identified {
+pub(super) struct ResolvedRequest {
     pub(super) route: RouteSpec,
     pub(super) service: ServiceName,
     pub(super) account: Option<AccountName>,
     pub(super) tier: u8,
 }
 
-/// Passes a request through the chain.
-pub(super) fn identify(exchange: &Exchange<'_>) -> Result<Identified, Refusal> {
-    is_ready(exchange)?;
+/// Applies all filters to a request.
+pub(super) fn resolve(exchange: &Exchange<'_>) -> Result<ResolvedRequest, Refusal> {
+    check_ready(exchange)?;
     let route = find_route(exchange)?;
-    ends_in_time(exchange, route)?;
+    check_stop(exchange, route)?;
     let (account, tier) = find_account(exchange, route)?;
     let service = draw_service(exchange, route)?;
-    Ok(Identified { route: route.clone(), service, account, tier })
+    Ok(ResolvedRequest { route: route.clone(), service, account, tier })
 }
 
-/// Without a document that is known to be recent, nothing can be said of any request.
-fn is_ready(exchange: &Exchange<'_>) -> Result<(), Refusal> {
+/// Refuses all requests while the route document is not known to be recent.
+fn check_ready(exchange: &Exchange<'_>) -> Result<(), Refusal> {
     const RETRY_AFTER_MS: u64 = 500;
     if exchange.snapshot.is_ready {
         return Ok(());
@@ -40,12 +40,14 @@
     route.ok_or_else(|| Refusal::new(RefusalKind::NotFound, "no route takes this host and path"))
 }
 
-/// Load pattern: all instances of a place are stopped in turn, and the balancer sends requests to
-/// those that it has none better for. One that may still run at the end is refused, and not cut off.
-fn ends_in_time(exchange: &Exchange<'_>, route: &RouteSpec) -> Result<(), Refusal> {
+/// Refuses a request that may still run when this instance exits, so that it is not interrupted.
+///
+/// Load pattern: all instances of a site are stopped in turn, and the load balancer sends requests to
+/// a stopping instance if it has no better one.
+fn check_stop(exchange: &Exchange<'_>, route: &RouteSpec) -> Result<(), Refusal> {
     const RETRY_AFTER_MS: u64 = 300;
-    let for_ms = exchange.fields.deadline_ms.unwrap_or(u64::MAX / 2).min(route.timeout_ms);
-    if !exchange.entry.is_too_late(for_ms) {
+    let duration_ms = exchange.fields.deadline_ms.unwrap_or(u64::MAX / 2).min(route.timeout_ms);
+    if !exchange.entry.would_outlast_stop(duration_ms) {
         return Ok(());
     }
     let message = "this instance is being stopped";
--- a/crates/proxy/src/exchange/guard.rs
+++ b/crates/proxy/src/exchange/guard.rs
@@ -1,4 +1,4 @@
-//! Ends a piece of work when the caller leaves or the time is over.
+//! Cancels work when the caller disconnects or the deadline passes.
 
 use crate::entry::Entry;
 use crate::http1::Connection;
@@ -8,18 +8,18 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// How many bytes of a further request are received while one is answered.
-const AHEAD_MAX_BYTES: usize = 64 * 1024;
+/// Maximum number of bytes of pipelined requests that are received while one is in progress.
+const PIPELINED_MAX_BYTES: usize = 64 * 1024;
 
-/// Why work was ended.
+/// Why work was cancelled.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Interrupted {
-    CallerLeft,
+    CallerDisconnected,
     TimedOut,
 }
 
-/// Does `work` until the caller closes `connection`, or until `deadline_ms`.
-pub(super) async fn guard<T>(
+/// Runs `work` until the caller closes `connection`, or until `deadline_ms`.
+pub(super) async fn run_interruptible<T>(
     entry: &Entry,
     connection: &mut Connection,
     deadline_ms: u64,
@@ -27,37 +27,37 @@
 ) -> Result<T, Interrupted> {
     let left_ms = deadline_ms.saturating_sub(entry.clock.now_ms());
     let done = async { Ok(work.await) };
-    let left = async {
-        connection.closed(AHEAD_MAX_BYTES).await;
-        Err(Interrupted::CallerLeft)
+    let disconnected = async {
+        connection.wait_closed(PIPELINED_MAX_BYTES).await;
+        Err(Interrupted::CallerDisconnected)
     };
-    let late = async {
+    let timed_out = async {
         Timer::after(Duration::from_millis(left_ms)).await;
         Err(Interrupted::TimedOut)
     };
-    smol::future::or(done, smol::future::or(left, late)).await
+    smol::future::or(done, smol::future::or(disconnected, timed_out)).await
 }
 
-/// A request that waits for its endpoint, and is withdrawn where it stops waiting.
-pub(super) struct Asked {
+/// A pending placement; the job is withdrawn if this is dropped before the decision.
+pub(super) struct PendingDecision {
     entry: Rc<Entry>,
     job_id: JobId,
-    decided: Cell<bool>,
+    is_decided: Cell<bool>,
 }
 
-impl Asked {
+impl PendingDecision {
     pub(super) fn new(entry: &Rc<Entry>, job_id: JobId) -> Self {
-        Self { entry: entry.clone(), job_id, decided: Cell::new(false) }
+        Self { entry: entry.clone(), job_id, is_decided: Cell::new(false) }
     }
 
-    pub(super) fn is_decided(&self) {
-        self.decided.set(true);
+    pub(super) fn mark_decided(&self) {
+        self.is_decided.set(true);
     }
 }
 
-impl Drop for Asked {
+impl Drop for PendingDecision {
     fn drop(&mut self) {
-        if !self.decided.get() {
+        if !self.is_decided.get() {
             self.entry.placement.withdraw(self.job_id);
         }
     }
--- a/crates/proxy/src/exchange/own.rs
+++ b/crates/proxy/src/exchange/local_response.rs
@@ -1,11 +1,11 @@
-//! Answers of this instance's own.
+//! Responses that this instance generates itself.
 
-use super::{Exchange, Held, Interrupted, StreamState};
+use super::{BufferedResponse, Exchange, Interrupted, StreamState};
 use crate::entry::Entry;
 use crate::http1::{Connection, Headers};
 use lycheehub_types::{Refusal, RefusalKind};
 
-/// Returns the bytes of a refusal.
+/// Returns the bytes of a response that refuses a request.
 pub(super) fn refusal(entry: &Entry, id: &str, refusal: &Refusal, keeps_alive: bool) -> Vec<u8> {
     let kind = refusal.kind();
     let body =
@@ -19,7 +19,7 @@
     if !keeps_alive {
         headers.push("Connection", "close");
     }
-    entry.dialect.add_own(&mut headers, id);
+    entry.dialect.add_local(&mut headers, id);
     let status = kind.http_status();
     let mut bytes = format!("HTTP/1.1 {status} {}\r\n", reason_of(status)).into_bytes();
     headers.write(&mut bytes);
@@ -42,48 +42,53 @@
     }
 }
 
-/// Sends a whole answer; tells whether the connection can be used for another request.
-pub(super) async fn send_last(caller: &mut Connection, bytes: &[u8], keeps_alive: bool) -> bool {
+/// Sends a complete response; returns whether the connection can be used for another request.
+pub(super) async fn send_response(
+    caller: &mut Connection,
+    bytes: &[u8],
+    keeps_alive: bool,
+) -> bool {
     match caller.send(bytes).await {
         Ok(()) => keeps_alive,
         Err(error) => {
-            spdlog::debug!("caller left before its answer", kv: { error: });
+            spdlog::debug!("caller disconnected before the response was sent", kv: { error: });
             false
         }
     }
 }
 
 impl Exchange<'_> {
-    /// Whether the caller's connection can be used after this answer.
+    /// Returns whether the caller's connection stays open after this response.
     pub(super) fn keeps_alive(&self) -> bool {
         self.head.keeps_alive && !self.entry.is_stopping()
     }
 
-    /// Refuses the request; tells whether the connection can be used for another one.
+    /// Refuses the request; returns whether the connection can be used for another one.
     pub(super) async fn refuse(&mut self, connection: &mut Connection, refused: &Refusal) -> bool {
-        self.trail.note_refusal(refused);
+        self.access_log.record_refusal(refused);
         let keeps_alive = self.keeps_alive();
         let bytes = refusal(self.entry, &self.fields.id, refused, keeps_alive);
-        send_last(connection, &bytes, keeps_alive).await
+        send_response(connection, &bytes, keeps_alive).await
     }
 
-    /// Ends a request that no further endpoint is asked for, since it was `refused` another one. A
-    /// stream that has begun is cut off. What may have run is answered by the last whole answer that
-    /// an endpoint gave, if there is one; only what has not run is told to come back.
+    /// Ends a request after its last attempt, for the reason in `refused`. A stream that has started
+    /// is truncated. Otherwise the last buffered response of an endpoint is relayed, if there is one.
+    /// A request that may have run is refused as `OutcomeUnknown`, without a retry delay; only one
+    /// that has not run is refused with `refused` itself.
     pub(super) async fn give_up(
         &mut self,
         connection: &mut Connection,
-        held: Option<Held>,
+        buffered: Option<BufferedResponse>,
         may_have_run: bool,
         stream: &StreamState,
         refused: &Refusal,
     ) -> bool {
-        if stream.has_begun() {
-            self.trail.note_end("cut");
+        if stream.has_started() {
+            self.access_log.record_end("cut");
             return false;
         }
-        if let Some(held) = held {
-            return self.relay_held(connection, &held).await;
+        if let Some(buffered) = buffered {
+            return self.relay_buffered(connection, &buffered).await;
         }
         if may_have_run {
             let unknown = Refusal::new(RefusalKind::OutcomeUnknown, refused.message());
@@ -92,7 +97,7 @@
         self.refuse(connection, refused).await
     }
 
-    /// Ends a request whose caller has left or whose time is over.
+    /// Ends a request whose caller disconnected or whose deadline passed.
     pub(super) async fn interrupted(
         &mut self,
         connection: &mut Connection,
@@ -101,12 +106,12 @@
         stream: &StreamState,
     ) -> bool {
         const RETRY_AFTER_MS: u64 = 1_000;
-        if why == Interrupted::CallerLeft {
-            self.trail.note_end("caller left");
+        if why == Interrupted::CallerDisconnected {
+            self.access_log.record_end("caller left");
             return false;
         }
-        if stream.has_begun() {
-            self.trail.note_end("timed out in its stream");
+        if stream.has_started() {
+            self.access_log.record_end("timed out in its stream");
             return false;
         }
         let refused = if may_have_run {
--- a/crates/proxy/src/exchange/mod.rs
+++ b/crates/proxy/src/exchange/mod.rs
@@ -1,23 +1,24 @@
-//! Answers one request of a caller.
+//! Handles one request of a caller.
 //!
-//! A request passes a chain of filters, is placed, sent, and its answer relayed. Before the first
-//! byte is sent to an endpoint, a failure is "not run" and the request goes elsewhere. After that,
-//! only a request that may be repeated does, or one of which the endpoint says that it did not run
-//! it.
+//! A request passes a chain of filters, is placed on an endpoint and sent to it, and the response is
+//! relayed. If an attempt fails before the first byte is sent to the endpoint, the request has not
+//! run and another endpoint is tried. After that, another endpoint is tried only if the request may
+//! be repeated or the endpoint states that it did not run it.
 
+mod access_log;
 mod attempt;
 mod filters;
 mod guard;
-mod own;
+mod local_response;
 mod relay;
 mod send;
-mod trail;
 
 use crate::dialect::RequestFields;
 use crate::entry::{Entry, Snapshot};
 use crate::http1::{Connection, Error, RequestHead};
-use attempt::{AttemptEnd, Held};
-use filters::Identified;
+use access_log::AccessLog;
+use attempt::{AttemptEnd, BufferedResponse};
+use filters::ResolvedRequest;
 use guard::Interrupted;
 use lycheehub_dispatch::{Decision, Job, JobId, Reason};
 use lycheehub_routes::{RequestKind, RouteSpec};
@@ -26,33 +27,33 @@
 use smol::Timer;
 use std::rc::Rc;
 use std::time::Duration;
-use trail::Trail;
 
-/// How long a request may be kept whose route tells no bound, in milliseconds.
-const NO_ROUTE_TIMEOUT_MS: u64 = 30_000;
-/// The least part of the longest deadline of a route that callers begin with.
-const FIRST_DEADLINE_SHARE: f64 = 0.8;
-/// How long a request waits until the routes are known, in milliseconds: what an election takes after
-/// all control instances have started again.
+/// Deadline in milliseconds of a request that states none. The timeout of its route may shorten it.
+const DEFAULT_TIMEOUT_MS: u64 = 30_000;
+/// Minimum share of the route's longest deadline that a first request of a caller has. A shorter
+/// deadline marks a request that was refused before.
+const FIRST_REQUEST_DEADLINE_SHARE: f64 = 0.8;
+/// Maximum time for which a request waits until the routes are known, in milliseconds: the duration
+/// of an election after all control instances have restarted.
 const ROUTES_WAIT_MS: u64 = 800;
-/// The part of its time for which it waits at most: the rest is for its answer.
+/// Maximum share of its deadline for which a request waits; the rest is left for the response.
 const ROUTES_WAIT_SHARE: f64 = 0.75;
-/// How often it is looked whether they are, in milliseconds.
-const ROUTES_LOOK_MS: u64 = 20;
-/// How many endpoints that cannot be reached are tried one after the other.
-const UNREACHED_MAX: u32 = 4;
+/// Interval at which a waiting request checks for routes, in milliseconds.
+const ROUTES_POLL_MS: u64 = 20;
+/// Maximum number of failed connection attempts to endpoints per request.
+const CONNECT_FAILURES_MAX: u32 = 4;
 
-/// A request as it was received.
-pub struct Received {
-    /// Its head.
+/// A completely received request.
+pub struct ReceivedRequest {
+    /// The head.
     pub head: RequestHead,
-    /// Its whole body.
+    /// The complete body.
     pub body: Vec<u8>,
-    /// How long it took from its first byte to its last, in milliseconds.
+    /// Time from the first to the last byte, in milliseconds.
     pub read_ms: u64,
 }
 
-/// A request that is being answered.
+/// A request in progress.
 struct Exchange<'a> {
     entry: &'a Rc<Entry>,
     head: RequestHead,
@@ -60,21 +61,25 @@
     fields: RequestFields,
     snapshot: Snapshot,
     started_ms: u64,
-    /// When the caller's or the route's time is over.
+    /// The earlier of the caller's deadline and the route's timeout.
     deadline_ms: u64,
-    trail: Trail,
+    access_log: AccessLog,
 }
 
-/// Answers a request; tells whether the connection can be used for another one.
-pub async fn answer(entry: &Rc<Entry>, connection: &mut Connection, request: Received) -> bool {
-    let Received { head, body, read_ms } = request;
+/// Handles a request; returns whether the connection can be used for another one.
+pub async fn handle_request(
+    entry: &Rc<Entry>,
+    connection: &mut Connection,
+    request: ReceivedRequest,
+) -> bool {
+    let ReceivedRequest { head, body, read_ms } = request;
     let started_ms = entry.clock.now_ms();
     let fields = entry.dialect.read_request(&head);
-    let timeout_ms = fields.deadline_ms.unwrap_or(NO_ROUTE_TIMEOUT_MS);
+    let timeout_ms = fields.deadline_ms.unwrap_or(DEFAULT_TIMEOUT_MS);
     let mut exchange = Exchange {
         entry,
         snapshot: entry.snapshots.latest(),
-        trail: Trail::new(&fields.id, started_ms, read_ms),
+        access_log: AccessLog::new(&fields.id, started_ms, read_ms),
         head,
         body,
         fields,
@@ -82,19 +87,24 @@
         deadline_ms: started_ms + timeout_ms,
     };
     let keeps_alive = exchange.run(connection).await;
-    exchange.trail.log(entry, exchange.snapshot.revision);
+    exchange.access_log.log(entry, exchange.snapshot.revision);
     keeps_alive
 }
 
-/// Answers a request that could not be read.
-pub async fn answer_unread(entry: &Entry, connection: &mut Connection, error: &Error) {
+/// Responds to a request that could not be read.
+pub async fn refuse_unreadable(entry: &Entry, connection: &mut Connection, error: &Error) {
     let kind = match error {
         Error::HeadTooLong | Error::BodyTooLong => RefusalKind::TooLarge,
         Error::Malformed(_) => RefusalKind::BadRequest,
-        Error::Io(_) | Error::Closed | Error::Cut => return,
+        Error::Io(_) | Error::Closed | Error::Truncated => return,
     };
     let refusal = Refusal::new(kind, error.to_string());
-    own::send_last(connection, &own::refusal(entry, "", &refusal, false), false).await;
+    local_response::send_response(
+        connection,
+        &local_response::refusal(entry, "", &refusal, false),
+        false,
+    )
+    .await;
 }
 
 impl Exchange<'_> {
@@ -102,85 +112,87 @@
         if let Err(why) = self.await_routes(connection).await {
             return self.interrupted(connection, why, false, &StreamState::new(None)).await;
         }
-        let identified = match filters::identify(self) {
-            Ok(identified) => identified,
+        let resolved = match filters::resolve(self) {
+            Ok(resolved) => resolved,
             Err(refusal) => return self.refuse(connection, &refusal).await,
         };
-        let route_ends_ms = self.started_ms + identified.route.timeout_ms;
+        let route_ends_ms = self.started_ms + resolved.route.timeout_ms;
         self.deadline_ms = self.deadline_ms.min(route_ends_ms);
-        self.trail.note_route(&identified);
-        self.serve(connection, &identified).await
+        self.access_log.record_route(&resolved);
+        self.serve(connection, &resolved).await
     }
 
-    /// Waits until the routes are known, or for as long as that takes where it goes well.
+    /// Waits until the routes are known, for a limited time.
     ///
-    /// Load pattern: all instances have started again, and callers come before a leader is elected.
-    /// Those that wait for it are answered sooner than those that are told to come back.
+    /// Load pattern: all instances have restarted, and requests arrive before a leader is elected.
+    /// Requests that wait for the election get a response sooner than those that are refused and
+    /// retried by their callers.
     async fn await_routes(&mut self, connection: &mut Connection) -> Result<(), Interrupted> {
         let left_ms = self.deadline_ms.saturating_sub(self.started_ms) as f64;
         let wait_ms = ROUTES_WAIT_MS.min((left_ms * ROUTES_WAIT_SHARE) as u64);
         let until_ms = self.started_ms + wait_ms;
         while !self.snapshot.is_ready && self.entry.clock.now_ms() < until_ms {
-            let look = Timer::after(Duration::from_millis(ROUTES_LOOK_MS));
-            guard::guard(self.entry, connection, self.deadline_ms, look).await?;
+            let poll_timer = Timer::after(Duration::from_millis(ROUTES_POLL_MS));
+            guard::run_interruptible(self.entry, connection, self.deadline_ms, poll_timer).await?;
             self.snapshot = self.entry.snapshots.latest();
-            self.trail.note_wait(ROUTES_LOOK_MS);
+            self.access_log.record_wait(ROUTES_POLL_MS);
         }
         Ok(())
     }
 
-    /// Sends the request to one endpoint after the other until it is answered.
-    async fn serve(&mut self, connection: &mut Connection, identified: &Identified) -> bool {
+    /// Tries endpoints one after another until the request has a response.
+    async fn serve(&mut self, connection: &mut Connection, resolved: &ResolvedRequest) -> bool {
         let mut tried = Vec::new();
         let mut stream = StreamState::new(self.fields.last_event_id.clone());
-        let mut held: Option<Held> = None;
-        let mut unreached = 0;
+        let mut buffered: Option<BufferedResponse> = None;
+        let mut connect_failures = 0;
         let mut may_have_run = false;
         let refusal = loop {
-            let goes_on = stream.has_begun();
-            let placed = match self.place(connection, identified, &tried, goes_on).await {
+            let resumes_stream = stream.has_started();
+            let placed = match self.place(connection, resolved, &tried, resumes_stream).await {
                 Ok(placed) => placed,
-                Err(Stopped::Interrupted(why)) => {
+                Err(NotPlaced::Interrupted(why)) => {
                     return self.interrupted(connection, why, may_have_run, &stream).await;
                 }
-                Err(Stopped::Refused(refusal)) => break refusal,
+                Err(NotPlaced::Refused(refusal)) => break refusal,
             };
-            let last = is_last(&identified.route, &tried);
-            let end = self.attempt(connection, identified, placed, &mut stream, last).await;
+            let is_last_attempt = is_last_attempt(&resolved.route, &tried);
+            let end =
+                self.attempt(connection, resolved, placed, &mut stream, is_last_attempt).await;
             match end {
                 AttemptEnd::Answered { keeps_alive } => return keeps_alive,
                 AttemptEnd::Interrupted(why) => {
                     return self.interrupted(connection, why, true, &stream).await;
                 }
                 AttemptEnd::NotSent(endpoint) => {
-                    unreached += 1;
-                    if unreached >= UNREACHED_MAX {
-                        break self.unreached(&endpoint);
+                    connect_failures += 1;
+                    if connect_failures >= CONNECT_FAILURES_MAX {
+                        break self.unreachable(&endpoint);
                     }
                 }
-                AttemptEnd::Barred => {}
+                AttemptEnd::Excluded => {}
                 AttemptEnd::NotRun { endpoint, retry_after_ms } => {
                     tried.push(endpoint);
-                    if last {
+                    if is_last_attempt {
                         let kind = RefusalKind::Overloaded;
                         let message = "the endpoint did not take the request";
                         break Refusal::retry(kind, message, retry_after_ms);
                     }
                 }
-                AttemptEnd::Failed { endpoint, answer } => {
+                AttemptEnd::Failed { endpoint, response } => {
                     tried.push(endpoint);
                     may_have_run = true;
-                    held = answer.or(held);
-                    if last || !identified.route.kind.may_repeat() {
-                        break self.outcome_unknown(identified.route.kind);
+                    buffered = response.or(buffered);
+                    if is_last_attempt || !resolved.route.kind.may_repeat() {
+                        break self.outcome_unknown(resolved.route.kind);
                     }
                 }
             }
         };
-        self.give_up(connection, held, may_have_run, &stream, &refusal).await
+        self.give_up(connection, buffered, may_have_run, &stream, &refusal).await
     }
 
-    fn unreached(&self, endpoint: &EndpointName) -> Refusal {
+    fn unreachable(&self, endpoint: &EndpointName) -> Refusal {
         const RETRY_AFTER_MS: u64 = 500;
         let message = format!("no endpoint could be reached, {endpoint} the last");
         Refusal::retry(RefusalKind::NoEndpoint, message, RETRY_AFTER_MS)
@@ -195,75 +207,76 @@
         Refusal::new(RefusalKind::OutcomeUnknown, message)
     }
 
-    /// Asks for an endpoint; `goes_on` tells that the caller has a part of a stream already.
+    /// Requests a placement; `resumes_stream` states that the caller has received part of the stream.
     async fn place(
         &mut self,
         connection: &mut Connection,
-        identified: &Identified,
+        resolved: &ResolvedRequest,
         tried: &[EndpointName],
-        goes_on: bool,
-    ) -> Result<Placed, Stopped> {
-        let asked_ms = self.entry.clock.now_ms();
+        resumes_stream: bool,
+    ) -> Result<Placed, NotPlaced> {
+        let requested_ms = self.entry.clock.now_ms();
         let job_id = self.entry.placement.next_job_id();
-        let job = self.job(identified, job_id, tried, goes_on);
-        self.trail.note_job(&job);
-        let asked = guard::Asked::new(self.entry, job_id);
-        let deciding = self.entry.placement.place(job);
-        let decision = guard::guard(self.entry, connection, self.deadline_ms, deciding).await;
-        let decision = decision.map_err(Stopped::Interrupted)?;
-        asked.is_decided();
-        self.trail.note_wait(self.entry.clock.now_ms() - asked_ms);
+        let job = self.job(resolved, job_id, tried, resumes_stream);
+        self.access_log.record_job(&job);
+        let pending = guard::PendingDecision::new(self.entry, job_id);
+        let decision = self.entry.placement.place(job);
+        let decision =
+            guard::run_interruptible(self.entry, connection, self.deadline_ms, decision).await;
+        let decision = decision.map_err(NotPlaced::Interrupted)?;
+        pending.mark_decided();
+        self.access_log.record_wait(self.entry.clock.now_ms() - requested_ms);
         match decision {
             Decision::Place { endpoint, address, first_byte_ms, .. } => {
                 Ok(Placed { job_id, endpoint, address, first_byte_ms })
             }
             Decision::Refuse { reason, retry_after_ms, .. } => {
-                Err(Stopped::Refused(refusal_of(reason, retry_after_ms)))
+                Err(NotPlaced::Refused(refusal_of(reason, retry_after_ms)))
             }
         }
     }
 
     fn job(
         &self,
-        identified: &Identified,
+        resolved: &ResolvedRequest,
         job_id: JobId,
         tried: &[EndpointName],
-        goes_on: bool,
+        resumes_stream: bool,
     ) -> Job {
         let now_ms = self.entry.clock.now_ms();
-        let route = &identified.route;
-        let returning = self.is_returning(identified);
-        // The caller of a stream that has begun waits for the next event, not for the first byte.
-        let (asked_ms, objective_ms, patience_ms) = match goes_on {
+        let route = &resolved.route;
+        let returning = self.is_returning(resolved);
+        // Once a stream has started, its caller waits for the next event, not for the first byte.
+        let (start_ms, objective_ms, patience_ms) = match resumes_stream {
             true => (now_ms, route.gap_objective_ms.unwrap_or(route.objective_ms), None),
             false => (self.started_ms, route.objective_ms, route.patience_ms),
         };
-        // One that has come back is late, whenever it is answered.
-        let objective_ms = if returning { 0 } else { asked_ms + objective_ms };
-        let patience_ms = patience_ms.map_or(self.deadline_ms, |ms| asked_ms + ms);
+        // A request that was refused before has missed its objective already.
+        let objective_ms = if returning { 0 } else { start_ms + objective_ms };
+        let patience_ms = patience_ms.map_or(self.deadline_ms, |ms| start_ms + ms);
         let patience_ms = patience_ms.min(self.deadline_ms);
         let output_max = self.fields.output_max_tokens;
         let declared_tokens = self
             .fields
             .prompt_tokens
             .map(|prompt| u64::from(prompt) + u64::from(output_max.unwrap_or_default()));
-        let likely = self.fields.output_hint_tokens.or(output_max).unwrap_or_default();
+        let expected = self.fields.output_hint_tokens.or(output_max).unwrap_or_default();
         Job {
             job_id,
-            service: identified.service.clone(),
-            tier: identified.tier,
+            service: resolved.service.clone(),
+            tier: resolved.tier,
             rank: route.rank,
-            account: identified.account.clone(),
+            account: resolved.account.clone(),
             declared_tokens,
             prompt_tokens: self.fields.prompt_tokens.unwrap_or_default(),
-            output_tokens: output_max.map_or(likely, |most| likely.min(most)),
+            output_tokens: output_max.map_or(expected, |max| expected.min(max)),
             prefix: self.fields.prefix.clone(),
             objective_left_ms: objective_ms.saturating_sub(now_ms),
             patience_left_ms: patience_ms.saturating_sub(now_ms),
             deadline_left_ms: self.deadline_ms.saturating_sub(now_ms),
             returning,
-            resumes_stream: goes_on,
-            is_last_attempt: !route.kind.may_repeat() || is_last(route, tried),
+            resumes_stream,
+            is_last_attempt: !route.kind.may_repeat() || is_last_attempt(route, tried),
             failure_domain: self.entry.options.failure_domain.clone(),
             tried: tried.to_vec(),
             repeat: !tried.is_empty(),
@@ -272,16 +285,16 @@
 }
 
 impl Exchange<'_> {
-    /// Tells whether the caller was refused before: it has much less time left than callers of the
-    /// route begin with.
-    fn is_returning(&self, identified: &Identified) -> bool {
+    /// Returns whether the request is likely a retry after a refusal: its deadline is much shorter
+    /// than the longest one seen on the route.
+    fn is_returning(&self, resolved: &ResolvedRequest) -> bool {
         let Some(deadline_ms) = self.fields.deadline_ms else { return false };
-        let longest_ms = self.entry.note_deadline(&identified.route.name, deadline_ms);
-        (deadline_ms as f64) < longest_ms as f64 * FIRST_DEADLINE_SHARE
+        let longest_ms = self.entry.record_deadline(&resolved.route.name, deadline_ms);
+        (deadline_ms as f64) < longest_ms as f64 * FIRST_REQUEST_DEADLINE_SHARE
     }
 }
 
-/// A request with the endpoint that it goes to.
+/// The endpoint that was chosen for a request.
 struct Placed {
     job_id: JobId,
     endpoint: EndpointName,
@@ -289,14 +302,14 @@
     first_byte_ms: u64,
 }
 
-/// Why a request is not sent anywhere.
-enum Stopped {
+/// Why no endpoint was chosen for a request.
+enum NotPlaced {
     Interrupted(Interrupted),
     Refused(Refusal),
 }
 
-/// Tells whether the next endpoint is the last one that a request may be sent to.
-fn is_last(route: &RouteSpec, tried: &[EndpointName]) -> bool {
+/// Returns whether the next attempt is the last one that the route allows.
+fn is_last_attempt(route: &RouteSpec, tried: &[EndpointName]) -> bool {
     tried.len() as u32 + 1 >= route.attempts_max
 }
 
--- a/crates/proxy/src/exchange/relay.rs
+++ b/crates/proxy/src/exchange/relay.rs
@@ -1,10 +1,10 @@
-//! Passes answers on to callers.
+//! Relays responses to callers.
 
 use super::Exchange;
-use super::attempt::{Attempt, AttemptEnd, Held};
-use super::guard::guard;
-use super::own::send_last;
-use crate::http1::{Body, Connection, Error, Event, Events, Framing, ResponseHead};
+use super::attempt::{Attempt, AttemptEnd, BufferedResponse};
+use super::guard::run_interruptible;
+use super::local_response::send_response;
+use crate::http1::{Body, Connection, Error, Event, EventParser, Framing, ResponseHead};
 use futures_lite::AsyncWriteExt;
 use lycheehub_clock::within;
 use lycheehub_dispatch::Outcome;
@@ -12,97 +12,102 @@
 use smol_str::SmolStr;
 use std::cell::Cell;
 
-/// The end of a body in chunks.
+/// The last chunk of a chunked body.
 const LAST_CHUNK: &[u8] = b"0\r\n\r\n";
-/// How long a stream that can go on elsewhere may take until its next event with an id, in
-/// milliseconds: well within the two seconds after which callers give it up. Bytes and comments that
-/// an endpoint sends meanwhile do not bring it on.
-const PAUSE_MAX_MS: u64 = 1_100;
+/// Maximum time until the next event with an id on a stream that can be resumed at another endpoint,
+/// in milliseconds. Callers abandon a stream after two seconds without progress, so this stays well
+/// below. Other bytes and comments from the endpoint do not count as progress.
+const PROGRESS_TIMEOUT_MS: u64 = 1_100;
 
-/// How far the answer to a request for a stream has come.
+/// How much of a stream the caller has been sent.
 #[derive(Clone, Debug)]
 pub(super) struct StreamState {
     last_event_id: Option<SmolStr>,
-    begun: Option<Framing>,
+    framing: Option<Framing>,
 }
 
 impl StreamState {
-    /// Begins after the event that the caller has.
+    /// Creates the state of a stream that continues after the last event that the caller received.
     pub(super) fn new(last_event_id: Option<SmolStr>) -> Self {
-        Self { last_event_id, begun: None }
+        Self { last_event_id, framing: None }
     }
 
-    /// Tells whether the caller was sent any of the answer.
-    pub(super) fn has_begun(&self) -> bool {
-        self.begun.is_some()
+    /// Returns whether any of the response was sent to the caller.
+    pub(super) fn has_started(&self) -> bool {
+        self.framing.is_some()
     }
 
-    /// Returns the last event that the caller has.
+    /// Returns the id of the last event that the caller was sent.
     pub(super) fn last_event_id(&self) -> Option<&SmolStr> {
         self.last_event_id.as_ref()
     }
 }
 
-/// Why no more of a stream is relayed.
+/// Why relaying a stream ended.
 enum StreamEnd {
-    Whole,
+    Complete,
     Broken(Error),
     Stalled,
-    CallerLeft,
+    CallerDisconnected,
 }
 
 impl Exchange<'_> {
-    /// Passes on an answer that was read whole; tells whether the connection can be used again.
-    pub(super) async fn relay_held(&mut self, caller: &mut Connection, held: &Held) -> bool {
+    /// Relays a buffered response; returns whether the connection can be used again.
+    pub(super) async fn relay_buffered(
+        &mut self,
+        caller: &mut Connection,
+        response: &BufferedResponse,
+    ) -> bool {
         let keeps_alive = self.keeps_alive();
-        let is_bodyless = held.head.framing == Framing::Length(0) && held.body.is_empty();
-        let framing = Framing::Length(held.body.len() as u64);
-        let framing = if is_bodyless { held.head.framing } else { framing };
-        let mut bytes = self.answer_head(&held.head, framing, keeps_alive);
-        bytes.extend_from_slice(&held.body);
-        self.trail.note_status(held.head.status);
-        let sending_ms = self.entry.clock.now_ms();
-        self.trail.note_first_byte(sending_ms);
-        let is_kept = send_last(caller, &bytes, keeps_alive).await;
-        self.trail.note_write(self.entry.clock.now_ms() - sending_ms);
-        is_kept
+        let is_bodyless = response.head.framing == Framing::Length(0) && response.body.is_empty();
+        let framing = Framing::Length(response.body.len() as u64);
+        let framing = if is_bodyless { response.head.framing } else { framing };
+        let mut bytes = self.response_head(&response.head, framing, keeps_alive);
+        bytes.extend_from_slice(&response.body);
+        self.access_log.record_status(response.head.status);
+        let write_started_ms = self.entry.clock.now_ms();
+        self.access_log.record_first_byte(write_started_ms);
+        let keeps_alive = send_response(caller, &bytes, keeps_alive).await;
+        self.access_log.record_write(self.entry.clock.now_ms() - write_started_ms);
+        keeps_alive
     }
 
-    /// Passes on a long answer that is no stream; where it breaks off, so does the caller's.
-    pub(super) async fn relay_long(
+    /// Relays a response that is too long to buffer and is no stream. If the endpoint's response is
+    /// truncated, so is the caller's.
+    pub(super) async fn relay_unbuffered(
         &mut self,
         caller: &mut Connection,
         mut upstream: Connection,
         head: ResponseHead,
-        mut reading: Body,
-        first: Vec<u8>,
+        mut reader: Body,
+        buffered: Vec<u8>,
         attempt: &Attempt,
     ) -> AttemptEnd {
         let keeps_alive = self.keeps_alive();
         let framing = caller_framing(head.framing);
-        let mut piece = self.answer_head(&head, framing, keeps_alive);
-        append_piece(&mut piece, framing, &first);
-        self.trail.note_status(head.status);
+        let mut pending = self.response_head(&head, framing, keeps_alive);
+        append_framed(&mut pending, framing, &buffered);
+        self.access_log.record_status(head.status);
         let mut writer = caller.writer();
         let relay = async {
             loop {
-                writer.write_all(&piece).await?;
-                piece.clear();
+                writer.write_all(&pending).await?;
+                pending.clear();
                 let mut body = Vec::new();
-                if !reading.next(&mut upstream, &mut body).await? {
+                if !reader.next(&mut upstream, &mut body).await? {
                     return Ok(());
                 }
-                append_piece(&mut piece, framing, &body);
+                append_framed(&mut pending, framing, &body);
             }
         };
         let relayed: Result<Result<(), Error>, _> =
-            guard(self.entry, caller, self.deadline_ms, relay).await;
+            run_interruptible(self.entry, caller, self.deadline_ms, relay).await;
         match relayed {
             Err(_) => AttemptEnd::Answered { keeps_alive: false },
             Ok(Err(error)) => {
-                spdlog::info!("answer cut off", kv: { id: = self.fields.id, error: = error });
+                spdlog::info!("endpoint response truncated", kv: { id: = self.fields.id, error: = error });
                 attempt.report(Outcome::Broken);
-                self.trail.note_end("cut");
+                self.access_log.record_end("cut");
                 AttemptEnd::Answered { keeps_alive: false }
             }
             Ok(Ok(())) => {
@@ -113,7 +118,7 @@
         }
     }
 
-    /// Passes on whole events of a stream as they come.
+    /// Relays complete events of a stream as they arrive.
     pub(super) async fn relay_stream(
         &mut self,
         caller: &mut Connection,
@@ -126,78 +131,78 @@
         let keeps_alive = self.keeps_alive();
         let framing = caller_framing(head.framing);
         let mut pending = Vec::new();
-        if stream.begun.is_none() {
-            pending = self.answer_head(&head, framing, keeps_alive);
+        if stream.framing.is_none() {
+            pending = self.response_head(&head, framing, keeps_alive);
         }
-        let framing = stream.begun.unwrap_or(framing);
+        let framing = stream.framing.unwrap_or(framing);
         let mut writer = caller.writer();
         let mut body = Body::new(head.framing);
         let deadline_ms = self.deadline_ms;
         let clock = self.entry.clock;
         let longest_write_ms = Cell::new(0);
         let relay = async {
-            let mut events = Events::default();
-            let mut advanced_ms = clock.now_ms();
+            let mut parser = EventParser::default();
+            let mut last_progress_ms = clock.now_ms();
             loop {
-                let mut piece = Vec::new();
-                let read = body.next(&mut upstream, &mut piece);
-                let paused_ms = clock.now_ms() - advanced_ms;
-                let left_ms = can_move.then(|| PAUSE_MAX_MS.saturating_sub(paused_ms));
-                let more = match within_pause(left_ms, read).await {
+                let mut received = Vec::new();
+                let read = body.next(&mut upstream, &mut received);
+                let elapsed_ms = clock.now_ms() - last_progress_ms;
+                let left_ms = can_move.then(|| PROGRESS_TIMEOUT_MS.saturating_sub(elapsed_ms));
+                let has_more = match within_limit(left_ms, read).await {
                     None => return StreamEnd::Stalled,
                     Some(Err(error)) => return StreamEnd::Broken(error),
-                    Some(Ok(more)) => more,
+                    Some(Ok(has_more)) => has_more,
                 };
-                let more = more && !body.is_at_end();
-                events.push(&piece);
-                while let Some(event) = events.next_event() {
+                let has_more = has_more && !body.is_at_end();
+                parser.push(&received);
+                while let Some(event) = parser.next_event() {
                     let now_ms = clock.now_ms();
-                    attempt.note_event(now_ms);
+                    attempt.record_event(now_ms);
                     if event.id.is_some() {
-                        advanced_ms = now_ms;
+                        last_progress_ms = now_ms;
                     }
-                    take_event(&mut pending, framing, stream, event);
+                    queue_event(&mut pending, framing, stream, event);
                 }
-                if let Err(error) = events.check_rest() {
+                if let Err(error) = parser.check_remainder() {
                     return StreamEnd::Broken(error);
                 }
-                if !more {
-                    append_piece(&mut pending, framing, &events.take_rest());
+                if !has_more {
+                    append_framed(&mut pending, framing, &parser.take_remainder());
                     if framing == Framing::Chunked {
                         pending.extend_from_slice(LAST_CHUNK);
                     }
                 }
-                let sending_ms = clock.now_ms();
-                if (!more || stream.has_begun()) && !send(&mut writer, &mut pending).await {
-                    return StreamEnd::CallerLeft;
+                let write_started_ms = clock.now_ms();
+                if (!has_more || stream.has_started()) && !flush(&mut writer, &mut pending).await {
+                    return StreamEnd::CallerDisconnected;
                 }
-                // A caller that reads slowly is no pause of the endpoint.
-                let write_ms = clock.now_ms() - sending_ms;
-                advanced_ms += write_ms;
+                // Time spent waiting for a slow caller does not count against the endpoint.
+                let write_ms = clock.now_ms() - write_started_ms;
+                last_progress_ms += write_ms;
                 longest_write_ms.set(write_ms.max(longest_write_ms.get()));
-                if !more {
-                    return StreamEnd::Whole;
+                if !has_more {
+                    return StreamEnd::Complete;
                 }
             }
         };
-        let end = guard(self.entry, caller, deadline_ms, relay).await;
+        let end = run_interruptible(self.entry, caller, deadline_ms, relay).await;
         if let Some(first_ms) = attempt.first_byte_ms.get() {
-            self.trail.note_first_byte(first_ms);
+            self.access_log.record_first_byte(first_ms);
         }
-        self.trail.note_write(longest_write_ms.get());
-        self.trail.note_events(attempt.events.get(), attempt.pause_ms.get());
+        self.access_log.record_write(longest_write_ms.get());
+        self.access_log.record_events(attempt.events.get(), attempt.pause_ms.get());
         let endpoint = attempt.endpoint.clone();
         match end {
             Err(why) => AttemptEnd::Interrupted(why),
-            Ok(StreamEnd::CallerLeft) => {
-                self.trail.note_end("caller left");
+            Ok(StreamEnd::CallerDisconnected) => {
+                self.access_log.record_end("caller left");
                 attempt.report(Outcome::Abandoned);
                 AttemptEnd::Answered { keeps_alive: false }
             }
-            Ok(StreamEnd::Whole) => {
-                self.trail.note_status(head.status);
+            Ok(StreamEnd::Complete) => {
+                self.access_log.record_status(head.status);
                 attempt.report(Outcome::Answered);
-                let is_clean = upstream.unused().is_empty() && head.keeps_alive;
+                let is_clean = upstream.buffered().is_empty() && head.keeps_alive;
                 if is_clean {
                     let timeout_ms = head.idle_timeout_ms();
                     self.entry.pool.put(clock.now_ms(), &endpoint, upstream, timeout_ms);
@@ -208,20 +213,20 @@
                 let event = stream.last_event_id.as_deref().unwrap_or_default();
                 spdlog::info!("stream broke off", kv: { id: = self.fields.id, error: = error, event });
                 attempt.report(Outcome::Broken);
-                AttemptEnd::Failed { endpoint, answer: None }
+                AttemptEnd::Failed { endpoint, response: None }
             }
             Ok(StreamEnd::Stalled) => {
                 spdlog::warn!("stream stalls", kv: { id: = self.fields.id, endpoint: = endpoint });
                 attempt.report(Outcome::Broken);
-                AttemptEnd::Failed { endpoint, answer: None }
+                AttemptEnd::Failed { endpoint, response: None }
             }
         }
     }
 
-    /// Returns the head that the caller is sent.
-    fn answer_head(&self, head: &ResponseHead, framing: Framing, keeps_alive: bool) -> Vec<u8> {
+    /// Returns the bytes of the response head for the caller.
+    fn response_head(&self, head: &ResponseHead, framing: Framing, keeps_alive: bool) -> Vec<u8> {
         let mut bytes = format!("HTTP/1.1 {} {}\r\n", head.status, head.reason).into_bytes();
-        let mut headers = head.headers.onward(|_| false);
+        let mut headers = head.headers.forwarded(|_| false);
         match framing {
             Framing::Length(length) if !matches!(head.status, 204 | 304) => {
                 headers.push("Content-Length", length.to_string());
@@ -238,8 +243,8 @@
     }
 }
 
-/// Returns how a body is framed towards the caller: one that ends with its connection comes in
-/// chunks, so that its caller can tell a whole one.
+/// Returns the framing of the body sent to the caller. A body that ends with its connection is sent
+/// chunked, so that the caller can detect truncation.
 fn caller_framing(framing: Framing) -> Framing {
     match framing {
         Framing::Length(length) => Framing::Length(length),
@@ -247,28 +252,28 @@
     }
 }
 
-fn append_piece(out: &mut Vec<u8>, framing: Framing, piece: &[u8]) {
-    if piece.is_empty() {
+fn append_framed(out: &mut Vec<u8>, framing: Framing, data: &[u8]) {
+    if data.is_empty() {
         return;
     }
     if framing == Framing::Chunked {
-        out.extend_from_slice(format!("{:x}\r\n", piece.len()).as_bytes());
+        out.extend_from_slice(format!("{:x}\r\n", data.len()).as_bytes());
     }
-    out.extend_from_slice(piece);
+    out.extend_from_slice(data);
     if framing == Framing::Chunked {
         out.extend_from_slice(b"\r\n");
     }
 }
 
-fn take_event(out: &mut Vec<u8>, framing: Framing, stream: &mut StreamState, event: Event) {
-    append_piece(out, framing, &event.bytes);
-    stream.begun.get_or_insert(framing);
+fn queue_event(out: &mut Vec<u8>, framing: Framing, stream: &mut StreamState, event: Event) {
+    append_framed(out, framing, &event.bytes);
+    stream.framing.get_or_insert(framing);
     if event.id.is_some() {
         stream.last_event_id = event.id;
     }
 }
 
-async fn send(writer: &mut TcpStream, pending: &mut Vec<u8>) -> bool {
+async fn flush(writer: &mut TcpStream, pending: &mut Vec<u8>) -> bool {
     if pending.is_empty() {
         return true;
     }
@@ -277,7 +282,7 @@
     is_sent
 }
 
-async fn within_pause<T>(left_ms: Option<u64>, work: impl Future<Output = T>) -> Option<T> {
+async fn within_limit<T>(left_ms: Option<u64>, work: impl Future<Output = T>) -> Option<T> {
     match left_ms {
         Some(left_ms) => within(left_ms, work).await,
         None => Some(work.await),
--- a/crates/proxy/src/exchange/send.rs
+++ b/crates/proxy/src/exchange/send.rs
@@ -1,30 +1,30 @@
-//! Sends a request to an endpoint and finds the answer that is its own.
+//! Sends a request to an endpoint and finds the response to it.
 
 use crate::http1::{Body, Connection, Error, ResponseHead};
 use std::cell::Cell;
 
-/// How many answers to other requests are passed over on one connection.
-const STRAY_ANSWERS_MAX: u32 = 3;
-/// How long they may be together, in bytes.
+/// Maximum number of responses to other requests that are discarded on a connection.
+const STRAY_RESPONSES_MAX: u32 = 3;
+/// Maximum total size of their bodies, in bytes.
 const STRAY_MAX_BYTES: usize = 256 * 1024;
-/// How many interim answers there may be before the final one.
-const INTERIM_ANSWERS_MAX: u32 = 16;
-/// The least status of an answer that is not interim.
+/// Maximum number of interim (1xx) responses before the final one.
+const INTERIM_RESPONSES_MAX: u32 = 16;
+/// Lowest status code of a final response.
 const FINAL_STATUS_MIN: u16 = 200;
 
-/// The head of an answer, and what was found on the way to it.
-pub(super) struct Answered {
+/// The head of a response, and whether it arrived early.
+pub(super) struct ResponseStart {
     pub(super) head: ResponseHead,
-    /// It came before the request was sent whole.
+    /// The response arrived before the request was sent completely.
     pub(super) is_early: bool,
 }
 
-/// Sends a request and reads the head of its answer, past answers to other requests.
+/// Sends a request and reads the head of its response; discards responses to other requests.
 pub(super) async fn send(
     upstream: &mut Connection,
     request: &[u8],
-    is_own: impl Fn(&ResponseHead) -> bool,
-) -> Result<Answered, Error> {
+    is_expected: impl Fn(&ResponseHead) -> bool,
+) -> Result<ResponseStart, Error> {
     let is_written = Cell::new(false);
     let mut writer = upstream.writer();
     let write = async {
@@ -32,55 +32,55 @@
         if writer.write_all(request).await.is_ok() {
             is_written.set(true);
         }
-        // A failure shows in what is read.
+        // A write error is not reported here: the read side fails as well.
         smol::future::pending().await
     };
-    let read = read_own_head(upstream, is_own);
+    let read = read_expected_head(upstream, is_expected);
     let head = smol::future::or(read, write).await?;
-    Ok(Answered { head, is_early: !is_written.get() })
+    Ok(ResponseStart { head, is_early: !is_written.get() })
 }
 
-/// Reads heads of answers until the one that is `is_own`.
-async fn read_own_head(
+/// Reads response heads until one for which `is_expected` holds.
+async fn read_expected_head(
     upstream: &mut Connection,
-    is_own: impl Fn(&ResponseHead) -> bool,
+    is_expected: impl Fn(&ResponseHead) -> bool,
 ) -> Result<ResponseHead, Error> {
-    let (mut strays, mut stray_bytes, mut interim) = (0, 0, 0);
+    let (mut stray_count, mut stray_bytes, mut interim_count) = (0, 0, 0);
     loop {
         let head = upstream.read_response_head().await?;
         if head.status < FINAL_STATUS_MIN {
-            interim += 1;
-            if interim > INTERIM_ANSWERS_MAX {
-                return Err(Error::Malformed("interim answers without end"));
+            interim_count += 1;
+            if interim_count > INTERIM_RESPONSES_MAX {
+                return Err(Error::Malformed("too many interim responses"));
             }
             continue;
         }
-        if is_own(&head) {
+        if is_expected(&head) {
             return Ok(head);
         }
-        strays += 1;
-        if strays > STRAY_ANSWERS_MAX {
-            return Err(Error::Malformed("answers to other requests"));
+        stray_count += 1;
+        if stray_count > STRAY_RESPONSES_MAX {
+            return Err(Error::Malformed("too many responses to other requests"));
         }
-        stray_bytes += pass_over(upstream, &head, STRAY_MAX_BYTES - stray_bytes).await?;
+        stray_bytes += discard_body(upstream, &head, STRAY_MAX_BYTES - stray_bytes).await?;
     }
 }
 
-/// Reads the body of an answer that is not used, of at most `max_bytes`; returns how long it was.
-async fn pass_over(
+/// Discards a response body of at most `max_bytes`; returns its length.
+async fn discard_body(
     upstream: &mut Connection,
     head: &ResponseHead,
     max_bytes: usize,
 ) -> Result<usize, Error> {
-    let mut passed = 0;
-    let mut piece = Vec::new();
+    let mut length = 0;
+    let mut buffer = Vec::new();
     let mut body = Body::new(head.framing);
-    while body.next(upstream, &mut piece).await? {
-        passed += piece.len();
-        if passed > max_bytes {
+    while body.next(upstream, &mut buffer).await? {
+        length += buffer.len();
+        if length > max_bytes {
             return Err(Error::BodyTooLong);
         }
-        piece.clear();
+        buffer.clear();
     }
-    Ok(passed)
+    Ok(length)
 }
--- a/crates/proxy/src/http1/body.rs
+++ b/crates/proxy/src/http1/body.rs
@@ -1,103 +1,103 @@
-//! Bodies: read piece by piece, without the bytes that frame them.
+//! Reads message bodies incrementally and removes their framing.
 
 use super::{Connection, Error};
 
-/// The longest line with a chunk's length, in bytes.
+/// Maximum length of a chunk size line, in bytes.
 const CHUNK_LINE_MAX_BYTES: usize = 256;
-/// The longest trailer, in bytes.
+/// Maximum length of the trailer section, in bytes.
 const TRAILER_MAX_BYTES: usize = 8 * 1024;
 
 /// How a body is framed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Framing {
-    /// It has this many bytes.
+    /// `Content-Length` framing: this many bytes.
     Length(u64),
-    /// It comes in chunks.
+    /// Chunked transfer coding.
     Chunked,
-    /// It ends with the connection.
+    /// The body ends when the connection closes.
     UntilClose,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Place {
-    /// This many bytes of the body follow, and then its end.
+enum State {
+    /// This many bytes of the body remain.
     Rest(u64),
-    /// The line with a chunk's length follows.
+    /// A chunk size line follows.
     ChunkLine,
-    /// This many bytes of a chunk follow.
+    /// This many bytes of the current chunk remain.
     Chunk(u64),
-    /// The line end after a chunk follows.
+    /// The CRLF after a chunk follows.
     ChunkEnd,
-    /// The trailer follows, of which so many bytes were read.
+    /// The trailer section, of which this many bytes have been read.
     Trailer(usize),
-    /// All up to the end of the connection.
+    /// Everything until the connection closes.
     UntilClose,
-    /// Nothing.
+    /// The body is complete.
     End,
 }
 
-/// A body that is being read.
+/// Reader of a message body.
 #[derive(Clone, Copy, Debug)]
 pub struct Body {
-    place: Place,
+    state: State,
 }
 
 impl Body {
-    /// Begins to read a body.
+    /// Creates a reader for a body with this framing.
     pub fn new(framing: Framing) -> Self {
-        let place = match framing {
-            Framing::Length(0) => Place::End,
-            Framing::Length(length) => Place::Rest(length),
-            Framing::Chunked => Place::ChunkLine,
-            Framing::UntilClose => Place::UntilClose,
+        let state = match framing {
+            Framing::Length(0) => State::End,
+            Framing::Length(length) => State::Rest(length),
+            Framing::Chunked => State::ChunkLine,
+            Framing::UntilClose => State::UntilClose,
         };
-        Self { place }
+        Self { state }
     }
 
-    /// Tells whether the body was read to its end.
+    /// Returns whether the body was read completely.
     pub fn is_at_end(&self) -> bool {
-        self.place == Place::End
+        self.state == State::End
     }
 
-    /// Appends the next piece to `out`; tells whether there was one, or the body is at its end.
-    /// Nothing is lost when it is dropped.
+    /// Appends the next bytes of the body to `out`; returns false at the end of the body. Cancel safe:
+    /// no bytes are lost if the future is dropped.
     ///
     /// # Errors
-    /// Fails where the body is cut off or malformed.
+    /// Fails if the body is truncated or malformed.
     pub async fn next(
         &mut self,
         connection: &mut Connection,
         out: &mut Vec<u8>,
     ) -> Result<bool, Error> {
-        let had = out.len();
+        let length_before = out.len();
         loop {
             if self.step(connection, out)? {
                 continue;
             }
-            if out.len() > had {
+            if out.len() > length_before {
                 return Ok(true);
             }
-            if self.place == Place::End {
+            if self.state == State::End {
                 return Ok(false);
             }
             match connection.fill().await? {
-                0 if self.place == Place::UntilClose => self.place = Place::End,
-                0 => return Err(Error::Cut),
+                0 if self.state == State::UntilClose => self.state = State::End,
+                0 => return Err(Error::Truncated),
                 _ => {}
             }
         }
     }
 
-    /// Reads a whole body of at most `max_bytes`.
+    /// Reads a complete body of at most `max_bytes`.
     ///
     /// # Errors
-    /// Fails where the body is longer, cut off or malformed.
+    /// Fails if the body is longer, truncated or malformed.
     pub async fn read_whole(
         mut self,
         connection: &mut Connection,
         max_bytes: usize,
     ) -> Result<Vec<u8>, Error> {
-        if matches!(self.place, Place::Rest(length) if length > max_bytes as u64) {
+        if matches!(self.state, State::Rest(length) if length > max_bytes as u64) {
             return Err(Error::BodyTooLong);
         }
         let mut whole = Vec::new();
@@ -109,33 +109,35 @@
         Ok(whole)
     }
 
-    /// Uses received bytes up to the next border; tells whether the place changed without a piece.
+    /// Consumes buffered bytes up to the next state change; returns whether to call it again at once.
     fn step(&mut self, connection: &mut Connection, out: &mut Vec<u8>) -> Result<bool, Error> {
-        match self.place {
-            Place::End => Ok(false),
-            Place::Rest(left) => {
-                let left = left - take(connection, left, out);
-                self.place = if left == 0 { Place::End } else { Place::Rest(left) };
+        match self.state {
+            State::End => Ok(false),
+            State::Rest(left) => {
+                let left = left - take_buffered(connection, left, out);
+                self.state = if left == 0 { State::End } else { State::Rest(left) };
                 Ok(false)
             }
-            Place::UntilClose => {
-                take(connection, u64::MAX, out);
+            State::UntilClose => {
+                take_buffered(connection, u64::MAX, out);
                 Ok(false)
             }
-            Place::Chunk(left) => {
-                let taken = take(connection, left, out);
-                self.place =
-                    if taken == left { Place::ChunkEnd } else { Place::Chunk(left - taken) };
+            State::Chunk(left) => {
+                let taken = take_buffered(connection, left, out);
+                self.state =
+                    if taken == left { State::ChunkEnd } else { State::Chunk(left - taken) };
                 Ok(taken == left)
             }
-            Place::ChunkLine => self.chunk_line(connection),
-            Place::ChunkEnd => self.chunk_end(connection),
-            Place::Trailer(read) => self.trailer(connection, read),
+            State::ChunkLine => self.chunk_line(connection),
+            State::ChunkEnd => self.chunk_end(connection),
+            State::Trailer(read) => self.trailer(connection, read),
         }
     }
 
     fn chunk_line(&mut self, connection: &mut Connection) -> Result<bool, Error> {
-        let Some(line) = line(connection.unused(), CHUNK_LINE_MAX_BYTES)? else { return Ok(false) };
+        let Some(line) = first_line(connection.buffered(), CHUNK_LINE_MAX_BYTES)? else {
+            return Ok(false);
+        };
         let digits = line.split(|byte| *byte == b';').next().unwrap_or_default().trim_ascii();
         let is_number =
             (1..=15).contains(&digits.len()) && digits.iter().all(u8::is_ascii_hexdigit);
@@ -144,42 +146,42 @@
         let length = length.ok_or(Error::Malformed("chunk length"))?;
         let used = line.len() + 2;
         connection.consume(used);
-        self.place = if length == 0 { Place::Trailer(0) } else { Place::Chunk(length) };
+        self.state = if length == 0 { State::Trailer(0) } else { State::Chunk(length) };
         Ok(true)
     }
 
     fn chunk_end(&mut self, connection: &mut Connection) -> Result<bool, Error> {
-        let Some(bytes) = connection.unused().get(..2) else { return Ok(false) };
+        let Some(bytes) = connection.buffered().get(..2) else { return Ok(false) };
         if bytes != b"\r\n" {
             return Err(Error::Malformed("chunk end"));
         }
         connection.consume(2);
-        self.place = Place::ChunkLine;
+        self.state = State::ChunkLine;
         Ok(true)
     }
 
     fn trailer(&mut self, connection: &mut Connection, read: usize) -> Result<bool, Error> {
         let max_bytes = TRAILER_MAX_BYTES - read;
-        let Some(line) = line(connection.unused(), max_bytes)? else { return Ok(false) };
-        let is_last = line.is_empty();
+        let Some(line) = first_line(connection.buffered(), max_bytes)? else { return Ok(false) };
+        let is_last_attempt = line.is_empty();
         let used = line.len() + 2;
         connection.consume(used);
-        self.place = if is_last { Place::End } else { Place::Trailer(read + used) };
-        Ok(!is_last)
+        self.state = if is_last_attempt { State::End } else { State::Trailer(read + used) };
+        Ok(!is_last_attempt)
     }
 }
 
-/// Moves up to `most` received bytes to `out`; returns how many.
-fn take(connection: &mut Connection, most: u64, out: &mut Vec<u8>) -> u64 {
-    let unused = connection.unused();
-    let count = unused.len().min(usize::try_from(most).unwrap_or(usize::MAX));
-    out.extend_from_slice(&unused[..count]);
+/// Moves up to `max` buffered bytes to `out`; returns how many.
+fn take_buffered(connection: &mut Connection, max: u64, out: &mut Vec<u8>) -> u64 {
+    let buffered = connection.buffered();
+    let count = buffered.len().min(usize::try_from(max).unwrap_or(usize::MAX));
+    out.extend_from_slice(&buffered[..count]);
     connection.consume(count);
     count as u64
 }
 
-/// Returns the first line without its end; nothing where it is not there yet.
-fn line(bytes: &[u8], max_bytes: usize) -> Result<Option<&[u8]>, Error> {
+/// Returns the first line without its CRLF, or `None` if it is incomplete.
+fn first_line(bytes: &[u8], max_bytes: usize) -> Result<Option<&[u8]>, Error> {
     let Some(end) = bytes.iter().take(max_bytes).position(|byte| *byte == b'\n') else {
         if bytes.len() >= max_bytes {
             return Err(Error::Malformed("line too long"));
--- a/crates/proxy/src/http1/connection.rs
+++ b/crates/proxy/src/http1/connection.rs
@@ -1,4 +1,4 @@
-//! A connection with the bytes that were received and not yet used.
+//! A TCP connection with a receive buffer.
 
 use super::{Error, RequestHead, ResponseHead};
 use futures_lite::{AsyncRead, AsyncWriteExt, future};
@@ -7,68 +7,69 @@
 use std::pin::Pin;
 use std::task::{Context, Poll, ready};
 
-/// How many bytes are read at once, at most.
+/// Maximum number of bytes per read.
 const READ_BYTES: usize = 16 * 1024;
-/// How much room an idle connection keeps for what it receives, in bytes.
-const KEPT_BYTES: usize = 1_024;
-/// How many header fields a head may have.
+/// Capacity that an empty receive buffer keeps, in bytes.
+const EMPTY_BUFFER_BYTES: usize = 1_024;
+/// Maximum number of header fields in a head.
 const FIELDS_MAX: usize = 96;
-/// After how many reads that had something at once others get their turn: a peer that sends faster
-/// than its bytes are used would keep the thread from all others, and from its own time limits.
-const READS_IN_A_ROW: u32 = 8;
-/// The longest head of an answer, in bytes.
-const ANSWER_HEAD_MAX_BYTES: usize = 32 * 1024;
+/// Number of consecutive reads that complete immediately after which the task yields. Without it, a
+/// peer that sends faster than its bytes are processed would starve all other tasks of the thread
+/// and the timeouts of its own connection.
+const CONSECUTIVE_READS_MAX: u32 = 8;
+/// Maximum size of a response head, in bytes.
+const RESPONSE_HEAD_MAX_BYTES: usize = 32 * 1024;
 
 thread_local! {
-    /// Where bytes are read to first: one for all connections of a thread, since most of them are
-    /// idle at any moment.
+    /// Read buffer shared by all connections of a thread, since most of them are idle at any moment.
     static SCRATCH: RefCell<Vec<u8>> = RefCell::new(vec![0; READ_BYTES]);
 }
 
-/// A connection.
+/// A connection to a caller or an endpoint.
 #[derive(Debug)]
 pub struct Connection {
     stream: TcpStream,
     received: Vec<u8>,
-    /// How many of the received bytes are used.
+    /// Number of received bytes that are consumed.
     used: usize,
-    /// How many reads in a row had something at once.
-    reads_in_a_row: u32,
+    /// Number of consecutive reads that completed immediately.
+    consecutive_reads: u32,
 }
 
 impl Connection {
-    /// Wraps a stream of which nothing was read.
+    /// Wraps a stream from which nothing was read.
     pub fn new(stream: TcpStream) -> Self {
-        Self { stream, received: Vec::new(), used: 0, reads_in_a_row: 0 }
+        Self { stream, received: Vec::new(), used: 0, consecutive_reads: 0 }
     }
 
-    /// Returns another handle of the stream, for writing.
+    /// Returns another handle to the stream, for writing.
     pub fn writer(&self) -> TcpStream {
         self.stream.clone()
     }
 
-    /// Returns the bytes that were received and not yet used.
-    pub fn unused(&self) -> &[u8] {
+    /// Returns the bytes that were received and not yet consumed.
+    pub fn buffered(&self) -> &[u8] {
         &self.received[self.used..]
     }
 
-    /// Marks bytes as used.
+    /// Consumes `count` buffered bytes.
     pub fn consume(&mut self, count: usize) {
         self.used += count;
         if self.used == self.received.len() {
             self.received.clear();
-            self.received.shrink_to(KEPT_BYTES);
+            self.received.shrink_to(EMPTY_BUFFER_BYTES);
             self.used = 0;
         }
     }
 
-    /// Receives more bytes; 0 at the end of the stream. Nothing is lost when it is dropped.
+    /// Receives more bytes into the buffer; returns 0 at the end of the stream. Cancel safe: no bytes
+    /// are lost if the future is dropped.
     ///
     /// # Errors
-    /// Fails where the connection does.
+    /// Fails on an I/O error.
     pub async fn fill(&mut self) -> Result<usize, Error> {
-        if self.reads_in_a_row >= READS_IN_A_ROW {
-            self.reads_in_a_row = 0;
+        if self.consecutive_reads >= CONSECUTIVE_READS_MAX {
+            self.consecutive_reads = 0;
             future::yield_now().await;
         }
         Ok(future::poll_fn(|context| self.poll_fill(context)).await?)
@@ -77,7 +78,7 @@
     fn poll_fill(&mut self, context: &mut Context<'_>) -> Poll<std::io::Result<usize>> {
         SCRATCH.with_borrow_mut(|scratch| {
             let read = Pin::new(&mut self.stream).poll_read(context, scratch);
-            self.reads_in_a_row = if read.is_ready() { self.reads_in_a_row + 1 } else { 0 };
+            self.consecutive_reads = if read.is_ready() { self.consecutive_reads + 1 } else { 0 };
             let count = ready!(read)?;
             self.received.drain(..self.used);
             self.used = 0;
@@ -86,10 +87,10 @@
         })
     }
 
-    /// Waits until the peer has closed the connection, keeping what it sends before, up to
-    /// `max_bytes`.
-    pub async fn closed(&mut self, max_bytes: usize) {
-        while self.unused().len() < max_bytes {
+    /// Waits until the peer closes the connection. Bytes that arrive before are buffered, up to
+    /// `max_bytes`; beyond that the close is not detected.
+    pub async fn wait_closed(&mut self, max_bytes: usize) {
+        while self.buffered().len() < max_bytes {
             if !matches!(self.fill().await, Ok(1..)) {
                 return;
             }
@@ -97,34 +98,34 @@
         future::pending().await
     }
 
-    /// Tells whether the peer has sent nothing, nor closed, since the last message.
-    pub async fn is_quiet(&mut self) -> bool {
-        if !self.unused().is_empty() {
+    /// Returns whether the connection is open and nothing was received since the last message.
+    pub async fn is_idle(&mut self) -> bool {
+        if !self.buffered().is_empty() {
             return false;
         }
         let read = future::poll_fn(|context| self.poll_fill(context));
         future::poll_once(read).await.is_none()
     }
 
-    /// Sends bytes.
+    /// Sends all of `bytes`.
     ///
     /// # Errors
-    /// Fails where the connection does.
+    /// Fails on an I/O error.
     pub async fn send(&mut self, bytes: &[u8]) -> Result<(), Error> {
         Ok(self.stream.write_all(bytes).await?)
     }
 
-    /// Reads the head of a request.
+    /// Reads a request head.
     ///
     /// # Errors
-    /// Fails where it is malformed or longer than `max_bytes`, and at the end of the connection.
+    /// Fails if it is malformed or longer than `max_bytes`, or if the connection ends.
     pub async fn read_request_head(&mut self, max_bytes: usize) -> Result<RequestHead, Error> {
         let mut skipped = 0;
         loop {
             skipped += self.skip_empty_lines();
             let mut fields = [httparse::EMPTY_HEADER; FIELDS_MAX];
             let mut parsed = httparse::Request::new(&mut fields);
-            let status = parsed.parse(self.unused()).map_err(|error| match error {
+            let status = parsed.parse(self.buffered()).map_err(|error| match error {
                 httparse::Error::TooManyHeaders => Error::HeadTooLong,
                 _ => Error::Malformed("request head"),
             })?;
@@ -136,48 +137,48 @@
                 self.consume(length);
                 return Ok(head);
             }
-            if skipped + self.unused().len() > max_bytes {
+            if skipped + self.buffered().len() > max_bytes {
                 return Err(Error::HeadTooLong);
             }
-            self.more().await?;
+            self.receive_more().await?;
         }
     }
 
-    /// Reads the head of an answer.
+    /// Reads a response head.
     ///
     /// # Errors
-    /// Fails where it is malformed, and at the end of the connection.
+    /// Fails if it is malformed or too long, or if the connection ends.
     pub async fn read_response_head(&mut self) -> Result<ResponseHead, Error> {
         loop {
             let mut fields = [httparse::EMPTY_HEADER; FIELDS_MAX];
             let mut parsed = httparse::Response::new(&mut fields);
-            let status = parsed.parse(self.unused());
+            let status = parsed.parse(self.buffered());
             let status = status.map_err(|_| Error::Malformed("response head"))?;
             if let httparse::Status::Complete(length) = status {
                 let head = ResponseHead::new(&parsed)?;
                 self.consume(length);
                 return Ok(head);
             }
-            if self.unused().len() > ANSWER_HEAD_MAX_BYTES {
+            if self.buffered().len() > RESPONSE_HEAD_MAX_BYTES {
                 return Err(Error::HeadTooLong);
             }
-            self.more().await?;
+            self.receive_more().await?;
         }
     }
 
-    /// Receives more of a message.
-    pub(super) async fn more(&mut self) -> Result<(), Error> {
-        let had_some = !self.unused().is_empty();
+    /// Receives more bytes of a head; fails at the end of the stream.
+    pub(super) async fn receive_more(&mut self) -> Result<(), Error> {
+        let is_partial = !self.buffered().is_empty();
         match self.fill().await? {
-            0 if had_some => Err(Error::Cut),
+            0 if is_partial => Err(Error::Truncated),
             0 => Err(Error::Closed),
             _ => Ok(()),
         }
     }
 
-    /// Skips empty lines; returns how many bytes they had.
+    /// Skips empty lines; returns the number of bytes skipped.
     fn skip_empty_lines(&mut self) -> usize {
-        let empty = self.unused().iter().take_while(|byte| matches!(byte, b'\r' | b'\n')).count();
+        let empty = self.buffered().iter().take_while(|byte| matches!(byte, b'\r' | b'\n')).count();
         self.consume(empty);
         empty
     }
--- a/crates/proxy/src/http1/events.rs
+++ b/crates/proxy/src/http1/events.rs
@@ -1,79 +1,79 @@
-//! Events of a stream, cut out of the bytes of its body.
+//! Incremental parser for server-sent events.
 
 use super::Error;
 use smol_str::SmolStr;
 
-/// The longest event, in bytes: what is longer is none, or would fill the memory.
+/// Maximum size of an event, in bytes. It bounds the memory taken by a body that is no event stream.
 const EVENT_MAX_BYTES: usize = 256 * 1024;
 
-/// An event.
+/// A server-sent event.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Event {
-    /// Its bytes, with the empty line at its end.
+    /// The raw bytes, including the terminating empty line.
     pub bytes: Vec<u8>,
-    /// Its id, if it has one.
+    /// The event id, if present.
     pub id: Option<SmolStr>,
 }
 
-/// Bytes of which the last event may not be whole yet.
+/// Splits the bytes of a body into events and buffers an incomplete last one.
 ///
 /// # Examples
 /// ```
-/// use lycheehub_proxy::http1::Events;
+/// use lycheehub_proxy::http1::EventParser;
 ///
-/// let mut events = Events::default();
-/// events.push(b"id: 1\ndata: a\n\nid: 2\nda");
-/// assert_eq!(events.next_event().unwrap().id.as_deref(), Some("1"));
-/// assert!(events.next_event().is_none());
+/// let mut parser = EventParser::default();
+/// parser.push(b"id: 1\ndata: a\n\nid: 2\nda");
+/// assert_eq!(parser.next_event().unwrap().id.as_deref(), Some("1"));
+/// assert!(parser.next_event().is_none());
 /// ```
 #[derive(Clone, Debug, Default)]
-pub struct Events {
-    pending: Vec<u8>,
+pub struct EventParser {
+    buffer: Vec<u8>,
 }
 
-impl Events {
-    /// Adds bytes of the body.
+impl EventParser {
+    /// Appends bytes of the body.
     pub fn push(&mut self, bytes: &[u8]) {
-        self.pending.extend_from_slice(bytes);
+        self.buffer.extend_from_slice(bytes);
     }
 
-    /// Takes the next whole event.
+    /// Removes and returns the next complete event.
     pub fn next_event(&mut self) -> Option<Event> {
-        let end = end_of_event(&self.pending)?;
-        let rest = self.pending.split_off(end);
-        let bytes = std::mem::replace(&mut self.pending, rest);
+        let end = end_of_event(&self.buffer)?;
+        let rest = self.buffer.split_off(end);
+        let bytes = std::mem::replace(&mut self.buffer, rest);
         let id = id_of(&bytes);
         Some(Event { bytes, id })
     }
 
-    /// Tells whether what is left can still become an event.
+    /// Checks that the buffered bytes can still become an event.
     ///
     /// # Errors
-    /// Fails where it is longer than any event.
-    pub fn check_rest(&self) -> Result<(), Error> {
-        let is_event = self.pending.len() <= EVENT_MAX_BYTES;
-        is_event.then_some(()).ok_or(Error::Malformed("event too long"))
+    /// Fails if they exceed the maximum size of an event.
+    pub fn check_remainder(&self) -> Result<(), Error> {
+        let is_within_limit = self.buffer.len() <= EVENT_MAX_BYTES;
+        is_within_limit.then_some(()).ok_or(Error::Malformed("event too long"))
     }
 
-    /// Takes what is left and is no whole event.
-    pub fn take_rest(&mut self) -> Vec<u8> {
-        std::mem::take(&mut self.pending)
+    /// Removes and returns the buffered bytes of an incomplete event.
+    pub fn take_remainder(&mut self) -> Vec<u8> {
+        std::mem::take(&mut self.buffer)
     }
 }
 
-/// Returns where the first event ends: after its empty line.
+/// Returns the end of the first event, after its terminating empty line.
 fn end_of_event(bytes: &[u8]) -> Option<usize> {
     let mut line_start = 0;
-    for (place, byte) in bytes.iter().enumerate() {
+    for (position, byte) in bytes.iter().enumerate() {
         if *byte != b'\n' {
             continue;
         }
         let line =
-            bytes[line_start..place].strip_suffix(b"\r").unwrap_or(&bytes[line_start..place]);
+            bytes[line_start..position].strip_suffix(b"\r").unwrap_or(&bytes[line_start..position]);
         if line.is_empty() {
-            return Some(place + 1);
+            return Some(position + 1);
         }
-        line_start = place + 1;
+        line_start = position + 1;
     }
     None
 }
--- a/crates/proxy/src/http1/head.rs
+++ b/crates/proxy/src/http1/head.rs
@@ -1,10 +1,10 @@
-//! Heads of requests and answers.
+//! Heads of requests and responses.
 
 use super::{Error, Framing};
 use smol_str::SmolStr;
 
-/// Header fields that concern one connection only.
-const CONNECTION_FIELDS: [&str; 8] = [
+/// Hop-by-hop header fields, which are not forwarded.
+const HOP_BY_HOP_FIELDS: [&str; 8] = [
     "connection",
     "keep-alive",
     "proxy-connection",
@@ -15,7 +15,7 @@
     "expect",
 ];
 
-/// Header fields in their order.
+/// Header fields in their original order.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Headers {
     fields: Vec<(SmolStr, Vec<u8>)>,
@@ -27,7 +27,7 @@
         Self { fields: fields.collect() }
     }
 
-    /// Adds a field.
+    /// Appends a field.
     pub fn push(&mut self, name: &str, value: impl Into<Vec<u8>>) {
         self.fields.push((name.into(), value.into()));
     }
@@ -37,12 +37,12 @@
         self.fields.iter().map(|(name, value)| (name.as_str(), value.as_slice()))
     }
 
-    /// Returns the values of the fields of this name.
+    /// Returns the values of all fields of this name.
     pub fn all<'a>(&'a self, name: &'a str) -> impl Iterator<Item = &'a [u8]> + Clone {
         self.iter().filter(move |(other, _)| other.eq_ignore_ascii_case(name)).map(|(_, v)| v)
     }
 
-    /// Returns the first value of this name, if it is text.
+    /// Returns the first value of this name, trimmed, if it is valid UTF-8.
     ///
     /// # Examples
     /// ```
@@ -55,31 +55,31 @@
         std::str::from_utf8(value).ok().map(str::trim)
     }
 
-    /// Tells whether a field that lists words has this one.
-    pub fn has_word(&self, name: &str, word: &str) -> bool {
-        let mut words = self
+    /// Returns whether a comma-separated field contains this token, ignoring case.
+    pub fn has_token(&self, name: &str, token: &str) -> bool {
+        let mut tokens = self
             .all(name)
             .filter_map(|value| std::str::from_utf8(value).ok())
             .flat_map(|value| value.split(','));
-        words.any(|other| other.trim().eq_ignore_ascii_case(word))
+        tokens.any(|other| other.trim().eq_ignore_ascii_case(token))
     }
 
-    /// Returns the fields that are passed on: those that concern more than this connection, and
-    /// of which `is_dropped` does not hold.
-    pub fn onward(&self, is_dropped: impl Fn(&str) -> bool) -> Self {
-        let concerns_connection = |name: &str| {
-            CONNECTION_FIELDS.iter().any(|field| field.eq_ignore_ascii_case(name))
-                || self.has_word("connection", name)
+    /// Returns the fields to forward: all but hop-by-hop fields, `Content-Length` and those for which
+    /// `is_dropped` holds.
+    pub fn forwarded(&self, is_dropped: impl Fn(&str) -> bool) -> Self {
+        let is_hop_by_hop = |name: &str| {
+            HOP_BY_HOP_FIELDS.iter().any(|field| field.eq_ignore_ascii_case(name))
+                || self.has_token("connection", name)
         };
         let kept = self.fields.iter().filter(|(name, _)| {
             !name.eq_ignore_ascii_case("content-length")
-                && !concerns_connection(name)
+                && !is_hop_by_hop(name)
                 && !is_dropped(name)
         });
         Self { fields: kept.cloned().collect() }
     }
 
-    /// Appends the fields as they are sent.
+    /// Appends the fields to `out` in wire format.
     pub fn write(&self, out: &mut Vec<u8>) {
         for (name, value) in &self.fields {
             out.extend_from_slice(name.as_bytes());
@@ -89,7 +89,7 @@
         }
     }
 
-    /// Returns the length that the fields state, if they do.
+    /// Returns the value of `Content-Length`, if present.
     fn content_length(&self) -> Result<Option<u64>, Error> {
         let mut found = None;
         for value in self.all("content-length") {
@@ -114,7 +114,7 @@
         Ok(true)
     }
 
-    /// Returns how the body is framed; nothing where the fields do not say it.
+    /// Returns the framing of the body, or `None` if the fields do not specify it.
     fn framing(&self) -> Result<Option<Framing>, Error> {
         let length = self.content_length()?;
         if !self.is_chunked()? {
@@ -139,11 +139,11 @@
 pub struct RequestHead {
     /// The method.
     pub method: SmolStr,
-    /// The path with the query, as the caller sent it.
+    /// The request target (path and query) as sent by the caller.
     pub target: SmolStr,
     /// The header fields.
     pub headers: Headers,
-    /// How the body is framed.
+    /// The framing of the body.
     pub framing: Framing,
     /// Whether the caller keeps the connection open.
     pub keeps_alive: bool,
@@ -155,14 +155,14 @@
         if headers.all("host").count() > 1 {
             return Err(Error::Malformed("two hosts"));
         }
-        let is_newest = parsed.version == Some(1);
-        let keeps_alive = if is_newest {
-            !headers.has_word("connection", "close")
+        let is_http11 = parsed.version == Some(1);
+        let keeps_alive = if is_http11 {
+            !headers.has_token("connection", "close")
         } else {
-            headers.has_word("connection", "keep-alive")
+            headers.has_token("connection", "keep-alive")
         };
         let framing = headers.framing()?.unwrap_or(Framing::Length(0));
-        if !is_newest && framing == Framing::Chunked {
+        if !is_http11 && framing == Framing::Chunked {
             return Err(Error::Malformed("chunks in an old version"));
         }
         Ok(Self {
@@ -179,22 +179,22 @@
         self.target.split(['?', '#']).next().unwrap_or_default()
     }
 
-    /// Tells whether the caller waits for a word before it sends the body.
+    /// Returns whether the caller waits for `100 Continue` before it sends the body.
     pub fn expects_continue(&self) -> bool {
-        self.headers.has_word("expect", "100-continue")
+        self.headers.has_token("expect", "100-continue")
     }
 }
 
-/// The head of an answer.
+/// The head of a response.
 #[derive(Clone, Debug)]
 pub struct ResponseHead {
-    /// The status.
+    /// The status code.
     pub status: u16,
-    /// The words beside the status.
+    /// The reason phrase.
     pub reason: SmolStr,
     /// The header fields.
     pub headers: Headers,
-    /// How the body is framed, where the request was not for a head only.
+    /// The framing of the body, unless the request method was HEAD.
     pub framing: Framing,
     /// Whether the endpoint keeps the connection open.
     pub keeps_alive: bool,
@@ -205,24 +205,25 @@
         let headers = Headers::new(parsed.headers);
         let status = parsed.code.unwrap_or_default();
         let has_no_body = matches!(status, 100..=199 | 204 | 304);
-        let stated = headers.framing()?;
+        let declared = headers.framing()?;
         let framing =
-            if has_no_body { Framing::Length(0) } else { stated.unwrap_or(Framing::UntilClose) };
-        let is_newest = parsed.version == Some(1);
-        let keeps_alive =
-            is_newest && framing != Framing::UntilClose && !headers.has_word("connection", "close");
+            if has_no_body { Framing::Length(0) } else { declared.unwrap_or(Framing::UntilClose) };
+        let is_http11 = parsed.version == Some(1);
+        let keeps_alive = is_http11
+            && framing != Framing::UntilClose
+            && !headers.has_token("connection", "close");
         let reason = parsed.reason.unwrap_or_default().into();
         Ok(Self { status, reason, framing, keeps_alive, headers })
     }
 
-    /// Returns after how long the endpoint wants the next request, in milliseconds, if it says so in
-    /// a way that makes sense: fractions of seconds do, less than nothing does not.
+    /// Returns the value of `Retry-After` in milliseconds, if it is a valid number of seconds. Fractions
+    /// are accepted, negative values are not.
     pub fn retry_after_ms(&self) -> Option<u64> {
         let seconds: f64 = self.headers.text("retry-after")?.parse().ok()?;
         (seconds.is_finite() && seconds >= 0.0).then_some((seconds * 1e3) as u64)
     }
 
-    /// Returns for how long the endpoint keeps an idle connection, in milliseconds, if it says so.
+    /// Returns the idle timeout that the endpoint announces in `Keep-Alive`, in milliseconds.
     pub fn idle_timeout_ms(&self) -> Option<u64> {
         let value = self.headers.text("keep-alive")?;
         let mut parameters = value.split(',').filter_map(|part| part.trim().split_once('='));
--- a/crates/proxy/src/http1/mod.rs
+++ b/crates/proxy/src/http1/mod.rs
@@ -1,4 +1,4 @@
-//! HTTP/1.1 heads and bodies, read strictly: what is ambiguous is refused.
+//! HTTP/1.1 heads and bodies, parsed strictly: ambiguous messages are rejected.
 
 mod body;
 mod connection;
@@ -7,13 +7,13 @@
 
 pub use body::{Body, Framing};
 pub use connection::Connection;
-pub use events::{Event, Events};
+pub use events::{Event, EventParser};
 pub use head::{Headers, RequestHead, ResponseHead};
 
 use quick_error::quick_error;
 
 quick_error! {
-    /// Bytes that are no message, or the end of a connection.
+    /// A message could not be read or written.
     #[derive(Debug)]
     pub enum Error {
         /// The connection failed.
@@ -26,11 +26,11 @@
         Closed {
             display("the connection was closed")
         }
-        /// The connection was closed within a message.
-        Cut {
-            display("the message was cut off")
+        /// The connection was closed in the middle of a message.
+        Truncated {
+            display("the connection was closed in the middle of a message")
         }
-        /// The bytes break the protocol.
+        /// The bytes violate the protocol.
         Malformed(what: &'static str) {
             display("malformed: {}", what)
         }
--- a/crates/proxy/src/labels.rs
+++ b/crates/proxy/src/labels.rs
@@ -1,12 +1,13 @@
-//! Label values of metrics, bounded in number.
+//! Metric label values, bounded in number.
 
 use smol_str::SmolStr;
 use std::collections::BTreeSet;
 
-/// What stands for all values beyond the bound.
+/// The label value that replaces all values beyond the bound.
 const OTHER: &str = "other";
 
-/// The values of a label that were seen first; all others are told as one.
+/// Limits the cardinality of a metric label: the first distinct values are kept, all later ones are
+/// replaced by `other`.
 ///
 /// # Examples
 /// ```
@@ -20,19 +21,19 @@
 #[derive(Clone, Debug)]
 pub struct Labels {
     seen: BTreeSet<SmolStr>,
-    most: usize,
+    max_values: usize,
 }
 
 impl Labels {
-    /// Makes a label with at most so many values, and one for all others.
-    pub fn new(most: usize) -> Self {
-        Self { seen: BTreeSet::new(), most }
+    /// Creates a label with at most `max_values` distinct values besides `other`.
+    pub fn new(max_values: usize) -> Self {
+        Self { seen: BTreeSet::new(), max_values }
     }
 
-    /// Returns the value that stands for `name`.
+    /// Returns the label value for `name`.
     pub fn value(&mut self, name: &SmolStr) -> SmolStr {
         if !self.seen.contains(name) {
-            if self.seen.len() >= self.most {
+            if self.seen.len() >= self.max_values {
                 return SmolStr::new_static(OTHER);
             }
             self.seen.insert(name.clone());
--- a/crates/proxy/src/lib.rs
+++ b/crates/proxy/src/lib.rs
@@ -1,12 +1,12 @@
-//! Passes requests of callers on to endpoints over HTTP/1.1.
+//! HTTP/1.1 proxy that forwards callers' requests to endpoints.
 //!
-//! * [`http1`] reads and writes heads and bodies, strictly.
-//! * [`dialect`] is the border to the names that a deployment gives to header fields.
-//! * [`server`] takes the connections of callers.
-//! * [`exchange`] answers one request: identify, classify, place, send, relay, account.
+//! * [`http1`] parses and writes message heads and bodies strictly.
+//! * [`dialect`] maps between this crate and the header field names of a deployment.
+//! * [`server`] accepts callers' connections.
+//! * [`exchange`] handles one request: resolve, place, send, relay, log.
 //! * [`pool`] keeps idle connections to endpoints.
-//! * [`labels`] bounds the values of a metric's label.
-//! * [`entry`] holds what all of them share.
+//! * [`labels`] bounds the number of values of a metric label.
+//! * [`entry`] holds the state that all connections share.
 #![deny(missing_docs, rust_2018_idioms)]
 #![forbid(unsafe_code)]
 
@@ -18,5 +18,5 @@
 pub mod pool;
 pub mod server;
 
-pub use dialect::{AnswerFields, Dialect, OnwardFields, RequestFields};
+pub use dialect::{Dialect, ForwardedFields, RequestFields, ResponseFields};
 pub use entry::{Entry, Options, Snapshot, Snapshots, Stop};
--- a/crates/proxy/tests/proxy/support.rs
+++ b/crates/proxy/tests/proxy/support.rs
@@ -4,7 +4,7 @@
 use lycheehub_clock::Clock;
 use lycheehub_dispatch::placement::DecisionFuture;
 use lycheehub_dispatch::{Decision, Finished, Job, JobId, Notice, Outcome, Placement, Reason};
-use lycheehub_proxy::dialect::{AnswerFields, Dialect, OnwardFields, RequestFields};
+use lycheehub_proxy::dialect::{Dialect, ForwardedFields, RequestFields, ResponseFields};
 use lycheehub_proxy::http1::{Headers, RequestHead, ResponseHead};
 use lycheehub_proxy::{Entry, Options, Snapshot, Snapshots, server};
 use lycheehub_routes::{Document, RequestKind, RouteSpec, RouteTable, ServiceSpec, Target};
@@ -35,11 +35,11 @@
         }
     }
 
-    fn is_kept_back(&self, name: &str) -> bool {
+    fn is_stripped(&self, name: &str) -> bool {
         matches!(name.to_ascii_lowercase().as_str(), "deadline" | "last-event-id" | "endpoint")
     }
 
-    fn add_onward(&self, headers: &mut Headers, fields: &OnwardFields) {
+    fn add_forwarded(&self, headers: &mut Headers, fields: &ForwardedFields) {
         headers.push("deadline", fields.deadline_left_ms.to_string());
         headers.push("endpoint", fields.endpoint.as_str());
         if let Some(id) = &fields.last_event_id {
@@ -47,8 +47,8 @@
         }
     }
 
-    fn read_answer(&self, head: &ResponseHead) -> AnswerFields {
-        AnswerFields {
+    fn read_response(&self, head: &ResponseHead) -> ResponseFields {
+        ResponseFields {
             id: head.headers.text("id").map(Into::into),
             not_run: head.headers.text("not-run").is_some(),
             misdirected: head.status == 421,
@@ -56,7 +56,7 @@
         }
     }
 
-    fn add_own(&self, headers: &mut Headers, id: &str) {
+    fn add_local(&self, headers: &mut Headers, id: &str) {
         headers.push("id", id);
     }
 }
