--- a/crates/proxy/tests/proxy/main.rs
+++ b/crates/proxy/tests/proxy/main.rs
@@ -1,10 +1,10 @@
-//! Tests of the HTTP ends against stand-ins for callers, endpoints and the dispatcher.
+//! Tests of the proxy with simulated callers, endpoints and placement.
 
-mod answers;
 mod callers;
 mod endless;
 mod framing;
 mod notices;
 mod requests;
+mod responses;
 mod streams;
 mod support;
--- a/crates/proxy/tests/proxy/support.rs
+++ b/crates/proxy/tests/proxy/support.rs
@@ -1,4 +1,4 @@
-//! A caller, an endpoint that follows a script, and a dispatcher that always places there.
+//! Test fixture: callers, scripted endpoints and a placement that rotates over them.
 
 use futures_lite::{AsyncReadExt, AsyncWriteExt};
 use lycheehub_clock::Clock;
@@ -16,14 +16,15 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// How long anything may take in these tests, in milliseconds.
-const PATIENCE_MS: u64 = 5_000;
+/// Time limit for reading a connection until it closes, in milliseconds. A whole test may take twice
+/// as long.
+const READ_TIMEOUT_MS: u64 = 5_000;
 
-/// Header names of these tests.
+/// Header fields used by these tests.
 #[derive(Debug)]
-struct Names;
+struct TestDialect;
 
-impl Dialect for Names {
+impl Dialect for TestDialect {
     fn read_request(&self, head: &RequestHead) -> RequestFields {
         RequestFields {
             id: head.headers.text("id").unwrap_or_default().into(),
@@ -61,31 +62,31 @@
     }
 }
 
-/// Places every request at the endpoints in turn, and notes what is reported.
+/// Places requests on the endpoints in turn and records all reports.
 #[derive(Default)]
-pub struct Turns {
+pub struct RotatingPlacement {
     pub addresses: RefCell<Vec<String>>,
     next: Cell<usize>,
     number: Cell<u64>,
     pub outcomes: RefCell<Vec<Outcome>>,
     pub withdrawn: Cell<u32>,
-    /// Whether each request is one that came back.
+    /// For each request, whether it is marked as a retry after a refusal.
     pub returning: RefCell<Vec<bool>>,
-    /// For how long the caller of each request waits yet for the first byte, in milliseconds.
+    /// For each request, the time that its caller still waits for the first byte, in milliseconds.
     pub patience_left_ms: RefCell<Vec<u64>>,
-    /// Requests wait for ever.
-    pub holds: Cell<bool>,
-    /// Repeats are refused.
-    pub no_repeats: Cell<bool>,
-    /// All are refused for the quota of their account.
+    /// Whether decisions are never made.
+    pub never_decides: Cell<bool>,
+    /// Whether repeated attempts are refused.
+    pub refuses_repeats: Cell<bool>,
+    /// Whether all requests are refused because of the quota.
     pub over_quota: Cell<bool>,
-    /// What endpoints said of themselves.
+    /// The reported notices, by endpoint.
     pub notices: RefCell<Vec<(String, Notice)>>,
-    /// The endpoints that want nothing.
-    pub barred: RefCell<Vec<String>>,
+    /// The endpoints reported as excluded.
+    pub excluded: RefCell<Vec<String>>,
 }
 
-impl Placement for Turns {
+impl Placement for RotatingPlacement {
     fn next_job_id(&self) -> JobId {
         self.number.set(self.number.get() + 1);
         JobId { instance: 0, number: self.number.get() }
@@ -96,10 +97,10 @@
             let job_id = job.job_id;
             self.returning.borrow_mut().push(job.returning);
             self.patience_left_ms.borrow_mut().push(job.patience_left_ms);
-            if self.holds.get() {
+            if self.never_decides.get() {
                 smol::future::pending::<()>().await;
             }
-            let refused = match job.repeat && self.no_repeats.get() {
+            let refused = match job.repeat && self.refuses_repeats.get() {
                 true => Some(Reason::RetriesExhausted),
                 false => self.over_quota.get().then_some(Reason::QuotaExceeded),
             };
@@ -107,10 +108,10 @@
                 return Decision::Refuse { job_id, reason, retry_after_ms: 700 };
             }
             let addresses = self.addresses.borrow();
-            let turn = self.next.get();
-            self.next.set(turn + 1);
-            let address = &addresses[turn % addresses.len()];
-            let endpoint = format!("endpoint-{}", turn % addresses.len()).into();
+            let index = self.next.get();
+            self.next.set(index + 1);
+            let address = &addresses[index % addresses.len()];
+            let endpoint = format!("endpoint-{}", index % addresses.len()).into();
             Decision::Place {
                 job_id,
                 endpoint,
@@ -135,17 +136,17 @@
     }
 
     fn is_excluded(&self, endpoint: &EndpointName) -> bool {
-        self.barred.borrow().iter().any(|barred| barred == endpoint.as_str())
+        self.excluded.borrow().iter().any(|excluded| excluded == endpoint.as_str())
     }
 }
 
-/// A document that is there from the begin, and is known to be recent when the test says so.
-struct Fixed {
+/// Serves a fixed document; `is_ready` controls whether it counts as recent.
+struct FixedSnapshots {
     table: Arc<RouteTable>,
     is_ready: Rc<Cell<bool>>,
 }
 
-impl Snapshots for Fixed {
+impl Snapshots for FixedSnapshots {
     fn latest(&self) -> Snapshot {
         Snapshot { table: self.table.clone(), revision: 1, is_ready: self.is_ready.get() }
     }
@@ -189,23 +190,23 @@
 }
 
 /// An entry instance under test.
-pub struct World {
+pub struct Fixture {
     pub executor: Rc<LocalExecutor<'static>>,
-    pub placement: Rc<Turns>,
+    pub placement: Rc<RotatingPlacement>,
     pub entry: Rc<Entry>,
-    /// Whether the document is known to be recent.
+    /// Whether the document counts as recent.
     pub is_ready: Rc<Cell<bool>>,
     pub address: String,
 }
 
 /// Runs a test against a new instance.
-pub fn run<F: Future<Output = ()>>(test: impl FnOnce(World) -> F) {
+pub fn run<F: Future<Output = ()>>(test: impl FnOnce(Fixture) -> F) {
     let executor = Rc::new(LocalExecutor::new());
     let runner = executor.clone();
     smol::block_on(runner.run(async {
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
         let address = listener.local_addr().unwrap().to_string();
-        let placement = Rc::new(Turns::default());
+        let placement = Rc::new(RotatingPlacement::default());
         let table = Arc::new(RouteTable::new(document()));
         let is_ready = Rc::new(Cell::new(true));
         let entry = Entry::new(
@@ -216,22 +217,22 @@
                 connect_timeout_ms: 300,
             },
             Clock::new(),
-            Box::new(Names),
-            Box::new(Fixed { table, is_ready: is_ready.clone() }),
+            Box::new(TestDialect),
+            Box::new(FixedSnapshots { table, is_ready: is_ready.clone() }),
             placement.clone(),
             executor.clone(),
         );
         executor.spawn(server::serve(entry.clone(), listener)).detach();
-        let world = World { executor, placement, entry, is_ready, address };
-        lycheehub_clock::within(PATIENCE_MS * 2, test(world))
+        let fixture = Fixture { executor, placement, entry, is_ready, address };
+        lycheehub_clock::within(READ_TIMEOUT_MS * 2, test(fixture))
             .await
             .expect("the test takes too long");
     }));
 }
 
-impl World {
-    /// Adds an endpoint; `script` serves each of its connections.
-    pub async fn endpoint<F: Future<Output = ()> + 'static>(
+impl Fixture {
+    /// Adds an endpoint; `script` handles each connection and gets its number, starting at 1.
+    pub async fn add_endpoint<F: Future<Output = ()> + 'static>(
         &self,
         script: impl Fn(TcpStream, u32) -> F + 'static,
     ) {
@@ -250,15 +251,15 @@
         self.executor.spawn(accept).detach();
     }
 
-    /// Adds so many endpoints that cannot be reached.
-    pub fn unreachable(&self, count: usize) {
+    /// Adds `count` endpoints that refuse connections.
+    pub fn add_unreachable_endpoints(&self, count: usize) {
         let addresses = &self.placement.addresses;
         addresses.borrow_mut().extend(vec!["127.0.0.1:1".to_owned(); count]);
     }
 
-    /// Adds an endpoint that reads a request and answers with `bytes`, over and over.
-    pub async fn answering(&self, bytes: &'static str) {
-        self.endpoint(move |mut stream, _| async move {
+    /// Adds an endpoint that responds to every request with `bytes`.
+    pub async fn add_responding_endpoint(&self, bytes: &'static str) {
+        self.add_endpoint(move |mut stream, _| async move {
             while read_request(&mut stream).await.is_some() {
                 stream.write_all(bytes.as_bytes()).await.unwrap();
             }
@@ -267,9 +268,9 @@
     }
 
     /// Adds an endpoint that reads a request, sends `bytes` and resets the connection.
-    pub async fn resetting(&self, bytes: impl Into<String>) {
+    pub async fn add_resetting_endpoint(&self, bytes: impl Into<String>) {
         let bytes = bytes.into();
-        self.endpoint(move |mut stream, _| {
+        self.add_endpoint(move |mut stream, _| {
             let bytes = bytes.clone();
             async move {
                 read_request(&mut stream).await;
@@ -283,18 +284,18 @@
         .await;
     }
 
-    /// Adds an endpoint that reads a request and sends `bytes`; notes whether its connection was
-    /// closed then.
-    pub async fn seeing_a_close(&self, bytes: &'static str) -> Rc<Cell<bool>> {
+    /// Adds an endpoint that reads a request and sends `bytes`; returns a flag that is set once the
+    /// connection is closed.
+    pub async fn add_close_detecting_endpoint(&self, bytes: &'static str) -> Rc<Cell<bool>> {
         let closed = Rc::new(Cell::new(false));
         let note = closed.clone();
-        self.endpoint(move |mut stream, _| {
+        self.add_endpoint(move |mut stream, _| {
             let note = note.clone();
             async move {
                 read_request(&mut stream).await;
                 stream.write_all(bytes.as_bytes()).await.unwrap();
-                let ended = !matches!(stream.read(&mut [0; 16]).await, Ok(1..));
-                note.set(ended);
+                let is_closed = !matches!(stream.read(&mut [0; 16]).await, Ok(1..));
+                note.set(is_closed);
             }
         })
         .await;
@@ -305,20 +306,20 @@
         TcpStream::connect(&self.address).await.unwrap()
     }
 
-    /// Sends a request over a new connection and returns all that comes until it is closed.
-    pub async fn ask(&self, request: &str) -> String {
+    /// Sends a request over a new connection; returns everything received until it is closed.
+    pub async fn request(&self, request: &str) -> String {
         let mut stream = self.connect().await;
         stream.write_all(request.as_bytes()).await.unwrap();
         read_all(&mut stream).await
     }
 }
 
-/// Returns a request that is the last one on its connection.
+/// Returns a GET request with `Connection: close`.
 pub fn get(path: &str) -> String {
     format!("GET {path} HTTP/1.1\r\nHost: salto.example\r\nid: r1\r\nConnection: close\r\n\r\n")
 }
 
-/// Returns a request with a body.
+/// Returns a POST request with a body and `Connection: close`.
 pub fn post(path: &str, body: &str) -> String {
     let length = body.len();
     format!(
@@ -335,7 +336,7 @@
     )
 }
 
-/// Reads until the other end closes, or resets.
+/// Reads until the peer closes or resets the connection.
 pub async fn read_all(stream: &mut TcpStream) -> String {
     let mut all = Vec::new();
     let mut chunk = [0; 4_096];
@@ -344,11 +345,12 @@
             all.extend_from_slice(&chunk[..count]);
         }
     };
-    lycheehub_clock::within(PATIENCE_MS, read).await.expect("the connection stays open");
+    lycheehub_clock::within(READ_TIMEOUT_MS, read).await.expect("the connection stays open");
     String::from_utf8_lossy(&all).into_owned()
 }
 
-/// Reads one request with the body that its length tells; nothing at the end of the connection.
+/// Reads one request with a body of `Content-Length` bytes; returns `None` at the end of the
+/// connection.
 pub async fn read_request(stream: &mut TcpStream) -> Option<String> {
     let mut all: Vec<u8> = Vec::new();
     let mut byte = [0; 1];
@@ -372,7 +374,7 @@
     Timer::after(Duration::from_millis(ms)).await;
 }
 
-/// Closes a connection so that the other end sees a reset.
+/// Closes a connection with a TCP reset.
 pub fn reset(stream: TcpStream) {
     rustix::net::sockopt::set_socket_linger(&stream, Some(Duration::ZERO)).unwrap();
 }
