--- a/crates/proxy/src/exchange/attempt.rs
+++ b/crates/proxy/src/exchange/attempt.rs
@@ -166,7 +166,7 @@
         let connect = self.connect(placed, kind.may_repeat());
         let connected = run_interruptible(self.entry, caller, self.deadline_ms, connect).await;
         let (mut upstream, is_new) = match connected {
-            Err(why) => return AttemptEnd::Interrupted(why),
+            Err(cause) => return AttemptEnd::Interrupted(cause),
             Ok(Err(error)) => {
                 spdlog::info!("endpoint not reached", kv: { id: = self.fields.id, error: = error });
                 attempt.report(Outcome::NotConnected);
@@ -187,7 +187,7 @@
         let watch = StallWatch { stall_ms, can_move };
         let work = self.watch_stall(attempt, watch, response);
         let response = match run_interruptible(self.entry, caller, self.deadline_ms, work).await {
-            Err(why) => return AttemptEnd::Interrupted(why),
+            Err(cause) => return AttemptEnd::Interrupted(cause),
             Ok(Some(Ok(response))) => response,
             Ok(Some(Err(error))) => {
                 spdlog::info!("no answer from endpoint", kv: { id: = self.fields.id, error: = error });
@@ -327,7 +327,7 @@
         };
         let work = self.watch_stall(attempt, watch, read);
         match run_interruptible(self.entry, caller, self.deadline_ms, work).await {
-            Err(why) => return AttemptEnd::Interrupted(why),
+            Err(cause) => return AttemptEnd::Interrupted(cause),
             Ok(None) => {
                 attempt.report(Outcome::Broken);
                 return AttemptEnd::Failed { endpoint, response: None };
--- a/crates/proxy/src/exchange/filters.rs
+++ b/crates/proxy/src/exchange/filters.rs
@@ -42,8 +42,8 @@
 
 /// Refuses a request that may still run when this instance exits, so that it is not interrupted.
 ///
-/// Load pattern: all instances of a site are stopped in turn, and the load balancer sends requests to
-/// a stopping instance if it has no better one.
+/// Load pattern: all instances of a failure domain are stopped in turn, and the load balancer sends
+/// requests to a stopping instance if it has no better one.
 fn check_stop(exchange: &Exchange<'_>, route: &RouteSpec) -> Result<(), Refusal> {
     const RETRY_AFTER_MS: u64 = 300;
     let duration_ms = exchange.fields.deadline_ms.unwrap_or(u64::MAX / 2).min(route.timeout_ms);
--- a/crates/proxy/src/exchange/local_response.rs
+++ b/crates/proxy/src/exchange/local_response.rs
@@ -101,12 +101,12 @@
     pub(super) async fn interrupted(
         &mut self,
         connection: &mut Connection,
-        why: Interrupted,
+        cause: Interrupted,
         may_have_run: bool,
         stream: &StreamState,
     ) -> bool {
         const RETRY_AFTER_MS: u64 = 1_000;
-        if why == Interrupted::CallerDisconnected {
+        if cause == Interrupted::CallerDisconnected {
             self.access_log.record_end("caller left");
             return false;
         }
--- a/crates/proxy/src/exchange/mod.rs
+++ b/crates/proxy/src/exchange/mod.rs
@@ -109,8 +109,8 @@
 
 impl Exchange<'_> {
     async fn run(&mut self, connection: &mut Connection) -> bool {
-        if let Err(why) = self.await_routes(connection).await {
-            return self.interrupted(connection, why, false, &StreamState::new(None)).await;
+        if let Err(cause) = self.await_routes(connection).await {
+            return self.interrupted(connection, cause, false, &StreamState::new(None)).await;
         }
         let resolved = match filters::resolve(self) {
             Ok(resolved) => resolved,
@@ -151,8 +151,8 @@
             let resumes_stream = stream.has_started();
             let placed = match self.place(connection, resolved, &tried, resumes_stream).await {
                 Ok(placed) => placed,
-                Err(NotPlaced::Interrupted(why)) => {
-                    return self.interrupted(connection, why, may_have_run, &stream).await;
+                Err(NotPlaced::Interrupted(cause)) => {
+                    return self.interrupted(connection, cause, may_have_run, &stream).await;
                 }
                 Err(NotPlaced::Refused(refusal)) => break refusal,
             };
@@ -161,8 +161,8 @@
                 self.attempt(connection, resolved, placed, &mut stream, is_last_attempt).await;
             match end {
                 AttemptEnd::Answered { keeps_alive } => return keeps_alive,
-                AttemptEnd::Interrupted(why) => {
-                    return self.interrupted(connection, why, true, &stream).await;
+                AttemptEnd::Interrupted(cause) => {
+                    return self.interrupted(connection, cause, true, &stream).await;
                 }
                 AttemptEnd::NotSent(endpoint) => {
                     connect_failures += 1;
--- a/crates/proxy/src/exchange/relay.rs
+++ b/crates/proxy/src/exchange/relay.rs
@@ -193,7 +193,7 @@
         self.access_log.record_events(attempt.events.get(), attempt.pause_ms.get());
         let endpoint = attempt.endpoint.clone();
         match end {
-            Err(why) => AttemptEnd::Interrupted(why),
+            Err(cause) => AttemptEnd::Interrupted(cause),
             Ok(StreamEnd::CallerDisconnected) => {
                 self.access_log.record_end("caller left");
                 attempt.report(Outcome::Abandoned);
--- a/crates/proxy/src/server.rs
+++ b/crates/proxy/src/server.rs
@@ -16,7 +16,7 @@
 const ACCEPT_RETRY_MS: u64 = 50;
 /// Time in milliseconds for which an idle connection stays open beyond the configured limit, so
 /// that a request sent just within the limit does not arrive at a closed connection.
-const IDLE_MARGIN_MS: u64 = 1_000;
+const IDLE_GRACE_MS: u64 = 1_000;
 /// Interim response for a caller that sent `Expect: 100-continue`.
 const CONTINUE_RESPONSE: &[u8] = b"HTTP/1.1 100 Continue\r\n\r\n";
 
@@ -73,7 +73,7 @@
         return true;
     }
     let limits = entry.snapshots.latest().table.document().limits;
-    let idle_ms = limits.idle_timeout_ms + IDLE_MARGIN_MS;
+    let idle_ms = limits.idle_timeout_ms + IDLE_GRACE_MS;
     let received = async { matches!(connection.fill().await, Ok(1..)) };
     let closing = async {
         entry.idle_close_requested().await;
