--- a/crates/proxy/src/exchange/access_log.rs
+++ b/crates/proxy/src/exchange/access_log.rs
@@ -133,9 +133,11 @@
             ("end", self.end.to_string()),
         ];
         metrics::counter!("lycheehub_requests_total", &labels).increment(1);
-        let tier = [("service", self.service.to_string()), ("rank", self.rank.to_string())];
-        metrics::histogram!("lycheehub_request_ms", &tier).record(total_ms as f64);
-        metrics::histogram!("lycheehub_request_wait_ms", &tier).record(self.waited_ms as f64);
+        let service_labels =
+            [("service", self.service.to_string()), ("rank", self.rank.to_string())];
+        metrics::histogram!("lycheehub_request_ms", &service_labels).record(total_ms as f64);
+        metrics::histogram!("lycheehub_request_wait_ms", &service_labels)
+            .record(self.waited_ms as f64);
         spdlog::info!("request", kv: {
             id: = self.id,
             end: = self.end,
--- a/crates/proxy/src/exchange/attempt.rs
+++ b/crates/proxy/src/exchange/attempt.rs
@@ -45,7 +45,7 @@
     /// The caller disconnected, or the deadline passed.
     Interrupted(Interrupted),
     /// No connection could be made to the endpoint.
-    NotSent(EndpointName),
+    NotConnected(EndpointName),
     /// The endpoint became excluded from placement while connecting; nothing was sent.
     Excluded,
     /// The endpoint states that it did not run the request.
@@ -59,7 +59,7 @@
     entry: Rc<Entry>,
     job_id: JobId,
     pub(super) endpoint: EndpointName,
-    pub(super) sent_ms: u64,
+    pub(super) started_ms: u64,
     pub(super) first_byte_ms: Cell<Option<u64>>,
     pub(super) events: Cell<u32>,
     last_event_ms: Cell<u64>,
@@ -74,7 +74,7 @@
             entry: entry.clone(),
             job_id: placed.job_id,
             endpoint: placed.endpoint.clone(),
-            sent_ms: entry.clock.now_ms(),
+            started_ms: entry.clock.now_ms(),
             first_byte_ms: Cell::new(None),
             events: Cell::new(0),
             last_event_ms: Cell::new(0),
@@ -102,7 +102,7 @@
     /// Reports the outcome of the attempt, once; returns its duration in milliseconds.
     pub(super) fn report(&self, outcome: Outcome) -> u64 {
         let now_ms = self.entry.clock.now_ms();
-        let took_ms = now_ms - self.sent_ms;
+        let took_ms = now_ms - self.started_ms;
         if self.is_reported.replace(true) {
             return took_ms;
         }
@@ -111,7 +111,7 @@
         self.entry.placement.finish(Finished {
             job_id: self.job_id,
             outcome,
-            first_byte_ms: first_ms.map(|first_ms| to_u32(first_ms - self.sent_ms)),
+            first_byte_ms: first_ms.map(|first_ms| to_u32(first_ms - self.started_ms)),
             rest_ms: first_ms.map_or(0, |first_ms| to_u32(now_ms - first_ms)),
             events: self.events.get().saturating_sub(1),
         });
@@ -170,7 +170,7 @@
             Ok(Err(error)) => {
                 spdlog::info!("endpoint not reached", kv: { id: = self.fields.id, error: = error });
                 attempt.report(Outcome::NotConnected);
-                return AttemptEnd::NotSent(endpoint);
+                return AttemptEnd::NotConnected(endpoint);
             }
             Ok(Ok(connected)) => connected,
         };
@@ -390,7 +390,7 @@
     match end {
         AttemptEnd::Answered { .. } => Outcome::Answered,
         AttemptEnd::Interrupted(_) | AttemptEnd::Excluded => Outcome::Abandoned,
-        AttemptEnd::NotSent(_) => Outcome::NotConnected,
+        AttemptEnd::NotConnected(_) => Outcome::NotConnected,
         AttemptEnd::NotRun { .. } => Outcome::Rejected,
         AttemptEnd::Failed { response: Some(_), .. } => Outcome::Failed,
         AttemptEnd::Failed { response: None, .. } => Outcome::Broken,
--- a/crates/proxy/src/exchange/mod.rs
+++ b/crates/proxy/src/exchange/mod.rs
@@ -164,7 +164,7 @@
                 AttemptEnd::Interrupted(cause) => {
                     return self.interrupted(connection, cause, true, &stream).await;
                 }
-                AttemptEnd::NotSent(endpoint) => {
+                AttemptEnd::NotConnected(endpoint) => {
                     connect_failures += 1;
                     if connect_failures >= CONNECT_FAILURES_MAX {
                         break self.unreachable(&endpoint);
--- a/crates/proxy/src/http1/body.rs
+++ b/crates/proxy/src/http1/body.rs
@@ -100,13 +100,13 @@
         if matches!(self.state, State::Rest(length) if length > max_bytes as u64) {
             return Err(Error::BodyTooLong);
         }
-        let mut whole = Vec::new();
-        while self.next(connection, &mut whole).await? {
-            if whole.len() > max_bytes {
+        let mut body = Vec::new();
+        while self.next(connection, &mut body).await? {
+            if body.len() > max_bytes {
                 return Err(Error::BodyTooLong);
             }
         }
-        Ok(whole)
+        Ok(body)
     }
 
     /// Consumes buffered bytes up to the next state change; returns whether to call it again at once.
--- a/crates/proxy/src/pool.rs
+++ b/crates/proxy/src/pool.rs
@@ -25,7 +25,7 @@
 struct IdleConnection {
     connection: Connection,
     since_ms: u64,
-    until_ms: u64,
+    expires_ms: u64,
 }
 
 /// Idle connections by endpoint.
@@ -44,9 +44,12 @@
     ) -> Option<Connection> {
         loop {
             let mut idle = self.idle.borrow_mut().get_mut(endpoint)?.pop()?;
-            let until_ms =
-                if may_repeat { idle.until_ms } else { idle.since_ms + NOT_REPEATABLE_IDLE_MAX_MS };
-            if now_ms >= until_ms.min(idle.until_ms) {
+            let expires_ms = if may_repeat {
+                idle.expires_ms
+            } else {
+                idle.since_ms + NOT_REPEATABLE_IDLE_MAX_MS
+            };
+            if now_ms >= expires_ms.min(idle.expires_ms) {
                 // The connections below this one have been idle for longer.
                 if may_repeat {
                     self.idle.borrow_mut().remove(endpoint);
@@ -73,12 +76,12 @@
             idle_timeout_ms.map_or(DEFAULT_IDLE_TIMEOUT_MS, |ms| ms.saturating_sub(IDLE_MARGIN_MS));
         let mut idle = self.idle.borrow_mut();
         let connections = idle.entry(endpoint.clone()).or_default();
-        connections.retain(|other| now_ms < other.until_ms);
+        connections.retain(|other| now_ms < other.expires_ms);
         if connections.len() < IDLE_PER_ENDPOINT_MAX && timeout_ms > 0 {
             connections.push(IdleConnection {
                 connection,
                 since_ms: now_ms,
-                until_ms: now_ms + timeout_ms,
+                expires_ms: now_ms + timeout_ms,
             });
         }
     }
@@ -86,7 +89,7 @@
     /// Closes the connections whose idle timeout has passed.
     pub fn close_expired(&self, now_ms: u64) {
         self.idle.borrow_mut().retain(|_, connections| {
-            connections.retain(|idle| now_ms < idle.until_ms);
+            connections.retain(|idle| now_ms < idle.expires_ms);
             !connections.is_empty()
         });
     }
--- a/crates/proxy/tests/proxy/endless.rs
+++ b/crates/proxy/tests/proxy/endless.rs
@@ -14,7 +14,7 @@
 const ROUTE_TIMEOUT_MS: u64 = 2_000 + 1_500;
 /// Time limit for another request during a flood, in milliseconds.
 const OTHER_REQUEST_MS: u64 = 1_500;
-const WHOLE: &str = "HTTP/1.1 200 OK\r\nid: r1\r\nContent-Length: 2\r\n\r\nok";
+const OK_RESPONSE: &str = "HTTP/1.1 200 OK\r\nid: r1\r\nContent-Length: 2\r\n\r\nok";
 
 /// The rate at which bytes are sent.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -53,7 +53,7 @@
 const NOT_RUN_BODY: Endless = endless("HTTP/1.1 503 Full\r\nid: r1\r\nnot-run: 1\r\n\r\n", "z");
 
 /// Input that never becomes a valid response.
-const NO_RESPONSES: [Endless; 9] =
+const INVALID_RESPONSES: [Endless; 9] =
     [STATUS_LINE, FIELD, FIELDS, NOT_HTTP, INTERIM, CHUNK_LINE, CHUNK_LENGTH, TRAILER, STRAY_BODY];
 
 /// Sends endless input until the peer closes the connection.
@@ -72,13 +72,13 @@
 /// Adds an endpoint that sends endless input; returns the count of its closed connections.
 async fn add_endless_endpoint(fixture: &Fixture, bytes: Endless, pace: Pace) -> Rc<Cell<u32>> {
     let closed = Rc::new(Cell::new(0));
-    let note = closed.clone();
+    let recorder = closed.clone();
     let script = move |mut stream: TcpStream, _| {
-        let note = note.clone();
+        let recorder = recorder.clone();
         async move {
             read_request(&mut stream).await;
             send_until_closed(&mut stream, bytes, pace).await;
-            note.set(note.get() + 1);
+            recorder.set(recorder.get() + 1);
         }
     };
     fixture.add_endpoint(script).await;
@@ -104,11 +104,11 @@
 
 #[gtest]
 fn a_safe_request_is_moved_after_an_endless_invalid_response() {
-    for bytes in NO_RESPONSES {
+    for bytes in INVALID_RESPONSES {
         for pace in [Pace::Flood, Pace::Drip] {
             run(|fixture| async move {
                 let closed = add_endless_endpoint(&fixture, bytes, pace).await;
-                fixture.add_responding_endpoint(WHOLE).await;
+                fixture.add_responding_endpoint(OK_RESPONSE).await;
                 expect_that!(
                     request(&fixture, "/safe/").await,
                     ends_with("ok"),
@@ -126,7 +126,7 @@
 // The endpoint may have run the request, so the response must not state the contrary.
 #[gtest]
 fn an_unsafe_request_gets_502_or_504_after_an_endless_invalid_response() {
-    for bytes in NO_RESPONSES {
+    for bytes in INVALID_RESPONSES {
         for pace in [Pace::Flood, Pace::Drip] {
             run(|fixture| async move {
                 let closed = add_endless_endpoint(&fixture, bytes, pace).await;
@@ -145,7 +145,7 @@
     for bytes in [STRAY_BODY, INTERIM, TRAILER, FIELDS] {
         run(|fixture| async move {
             add_endless_endpoint(&fixture, bytes, Pace::Flood).await;
-            fixture.add_responding_endpoint(WHOLE).await;
+            fixture.add_responding_endpoint(OK_RESPONSE).await;
             let mut flooded = fixture.connect().await;
             flooded.write_all(get("/unsafe/").as_bytes()).await.unwrap();
             sleep_ms(20).await;
@@ -209,7 +209,7 @@
     for pace in [Pace::Flood, Pace::Drip] {
         run(|fixture| async move {
             let closed = add_endless_endpoint(&fixture, NOT_RUN_BODY, pace).await;
-            fixture.add_responding_endpoint(WHOLE).await;
+            fixture.add_responding_endpoint(OK_RESPONSE).await;
             expect_that!(request(&fixture, "/unsafe/").await, ends_with("ok"), "{pace:?}");
             wait_until_closed(&closed).await;
         });
@@ -275,7 +275,7 @@
 #[gtest]
 fn other_requests_are_served_during_a_flood_from_a_caller() {
     run(|fixture| async move {
-        fixture.add_responding_endpoint(WHOLE).await;
+        fixture.add_responding_endpoint(OK_RESPONSE).await;
         let address = fixture.address.clone();
         let flood = async move {
             let mut caller = TcpStream::connect(&address).await.unwrap();
--- a/crates/proxy/tests/proxy/notices.rs
+++ b/crates/proxy/tests/proxy/notices.rs
@@ -6,7 +6,7 @@
 use std::cell::RefCell;
 use std::rc::Rc;
 
-const WHOLE: &str = "HTTP/1.1 200 OK\r\nid: r1\r\nContent-Length: 2\r\n\r\nok";
+const OK_RESPONSE: &str = "HTTP/1.1 200 OK\r\nid: r1\r\nContent-Length: 2\r\n\r\nok";
 
 fn paused(pause_ms: u64) -> Notice {
     Notice { leaving: false, pause_ms: Some(pause_ms) }
@@ -15,12 +15,12 @@
 /// Returns the notices reported for a response to a repeatable request.
 fn reported_notices(response: &'static str) -> Vec<(String, Notice)> {
     let notices = Rc::new(RefCell::new(Vec::new()));
-    let note = notices.clone();
+    let recorder = notices.clone();
     run(|fixture| async move {
         fixture.add_responding_endpoint(response).await;
-        fixture.add_responding_endpoint(WHOLE).await;
+        fixture.add_responding_endpoint(OK_RESPONSE).await;
         fixture.request(&get("/safe/")).await;
-        note.replace(fixture.placement.notices.take());
+        recorder.replace(fixture.placement.notices.take());
     });
     notices.take()
 }
@@ -35,7 +35,7 @@
     ] {
         expect_that!(reported_notices(response), elements_are![eq(&expected)], "{response:?}");
     }
-    expect_that!(reported_notices(WHOLE), is_empty());
+    expect_that!(reported_notices(OK_RESPONSE), is_empty());
 }
 
 #[gtest]
@@ -78,7 +78,7 @@
         fixture
             .add_responding_endpoint("HTTP/1.1 200 OK\r\nid: r1\r\nContent-Length: 3\r\n\r\nbad")
             .await;
-        fixture.add_responding_endpoint(WHOLE).await;
+        fixture.add_responding_endpoint(OK_RESPONSE).await;
         fixture.placement.excluded.borrow_mut().push("endpoint-0".to_owned());
         expect_that!(fixture.request(&post("/unsafe/", "pay")).await, ends_with("ok"));
         let expected = [Outcome::Abandoned, Outcome::Answered];
--- a/crates/proxy/tests/proxy/requests.rs
+++ b/crates/proxy/tests/proxy/requests.rs
@@ -14,12 +14,12 @@
 fn method_target_body_and_end_to_end_headers_are_forwarded_unchanged() {
     run(|fixture| async move {
         let received = Rc::new(RefCell::new(String::new()));
-        let note = received.clone();
+        let recorder = received.clone();
         fixture
             .add_endpoint(move |mut stream, _| {
-                let note = note.clone();
+                let recorder = recorder.clone();
                 async move {
-                    *note.borrow_mut() = read_request(&mut stream).await.unwrap();
+                    *recorder.borrow_mut() = read_request(&mut stream).await.unwrap();
                     let response = "HTTP/1.1 200 OK\r\nid: r1\r\nContent-Length: 0\r\n\r\n";
                     stream.write_all(response.as_bytes()).await.unwrap();
                 }
--- a/crates/proxy/tests/proxy/streams.rs
+++ b/crates/proxy/tests/proxy/streams.rs
@@ -55,15 +55,15 @@
 fn a_resumable_stream_continues_after_its_last_complete_event() {
     run(|fixture| async move {
         let received = Rc::new(RefCell::new(String::new()));
-        let note = received.clone();
+        let recorder = received.clone();
         fixture
             .add_resetting_endpoint(HEAD.to_owned() + &chunk("id: 1\ndata: a\n\nid: 2\nda"))
             .await;
         fixture
             .add_endpoint(move |mut stream, _| {
-                let note = note.clone();
+                let recorder = recorder.clone();
                 async move {
-                    *note.borrow_mut() = read_request(&mut stream).await.unwrap();
+                    *recorder.borrow_mut() = read_request(&mut stream).await.unwrap();
                     let rest = HEAD.replace("first", "second")
                         + &chunk("id: 2\ndata: b\n\n")
                         + "0\r\n\r\n";
--- a/crates/proxy/tests/proxy/support.rs
+++ b/crates/proxy/tests/proxy/support.rs
@@ -288,14 +288,14 @@
     /// connection is closed.
     pub async fn add_close_detecting_endpoint(&self, bytes: &'static str) -> Rc<Cell<bool>> {
         let closed = Rc::new(Cell::new(false));
-        let note = closed.clone();
+        let recorder = closed.clone();
         self.add_endpoint(move |mut stream, _| {
-            let note = note.clone();
+            let recorder = recorder.clone();
             async move {
                 read_request(&mut stream).await;
                 stream.write_all(bytes.as_bytes()).await.unwrap();
                 let is_closed = !matches!(stream.read(&mut [0; 16]).await, Ok(1..));
-                note.set(is_closed);
+                recorder.set(is_closed);
             }
         })
         .await;
