--- a/crates/cli/src/roles/entry.rs
+++ b/crates/cli/src/roles/entry.rs
@@ -120,7 +120,7 @@
     loop {
         views.changed().await;
         let view = views.get();
-        placement.take_view(&view, view.document_revision != document_revision);
+        placement.apply_view(&view, view.document_revision != document_revision);
         document_revision = view.document_revision;
     }
 }
--- a/crates/peer/src/entry/mod.rs
+++ b/crates/peer/src/entry/mod.rs
@@ -1,7 +1,7 @@
-//! The control thread of an instance that takes requests and holds no replica.
+//! The control thread of an entry instance, which accepts requests and holds no control replica.
 //!
-//! It watches all replicas that it can reach, so that what any of them knows of endpoints and of
-//! the route document is known here, whichever of them are lost.
+//! It watches every reachable replica, so that it learns of endpoints and of the route document from
+//! any replica that is left when others fail.
 
 mod pause;
 mod placement;
@@ -32,18 +32,17 @@
 use std::time::Duration;
 use xxhash_rust::xxh3::{xxh3_64, xxh3_64_with_seed};
 
-/// How often leases are looked at, in milliseconds.
-const DIRECTORY_MS: u64 = 500;
-/// How long a replica may take to answer with changes of the state, in milliseconds.
-const FETCH_MS: u64 = 1_500;
-/// How long a replica may take until it has what another one has, in milliseconds: some heartbeats of
-/// the leader.
+/// How often orphaned endpoints are expired, in milliseconds.
+const EXPIRE_INTERVAL_MS: u64 = 500;
+/// The timeout for a request to a replica for state changes, in milliseconds.
+const FETCH_TIMEOUT_MS: u64 = 1_500;
+/// How long a replica may wait until it has applied a revision that another replica has, in
+/// milliseconds: several heartbeats of the leader.
 const SOURCE_WAIT_MS: u32 = 500;
-/// How long it may take to answer besides, in milliseconds: some round trips between failure domains.
-const SOURCE_ANSWER_MS: u64 = 100;
-/// How long to wait before it is looked again whether a leader can confirm the state, in
-/// milliseconds.
-const CONFIRM_AGAIN_MS: u64 = 50;
+/// The additional time for its reply, in milliseconds: several round trips between failure domains.
+const SOURCE_REPLY_MS: u64 = 100;
+/// The delay between attempts to have the leader confirm the state, in milliseconds.
+const CONFIRM_RETRY_MS: u64 = 50;
 
 /// The control thread's state.
 pub struct EntryNode {
@@ -56,7 +55,7 @@
     heard_from: HeardFrom,
 }
 
-/// What the control thread has learned.
+/// What the control thread has learned from replicas.
 #[derive(Default)]
 struct Known {
     state: State,
@@ -65,37 +64,37 @@
     /// The replicas whose addresses come from the settings.
     seeds: BTreeSet<InstanceName>,
     watched: BTreeSet<InstanceName>,
-    /// The replicas that answer.
-    heard: BTreeSet<InstanceName>,
+    /// The replicas that are reachable.
+    reachable: BTreeSet<InstanceName>,
     leader: Option<InstanceName>,
-    /// A quorum has confirmed the state once since the start.
+    /// Whether a quorum has confirmed the state since this process started.
     confirmed: bool,
-    /// The revision that is being fetched.
+    /// The revision that is being fetched, if any.
     fetching: Option<u64>,
 }
 
 impl Known {
-    /// Returns the newest revision that is here or on its way.
+    /// Returns the newest revision that is applied or being fetched.
     fn newest_revision(&self) -> u64 {
         self.state.revision.max(self.fetching.unwrap_or(0))
     }
 
-    /// Returns the replica that the instance `own` fetches changes from: another one for each, so that
-    /// all have about as many.
-    fn own_source(&self, own: &str) -> Option<InstanceName> {
+    /// Returns the reachable replica from which the instance `own` fetches changes. Rendezvous hashing
+    /// spreads the instances about evenly over the replicas.
+    fn preferred_source(&self, own: &str) -> Option<InstanceName> {
         let seed = xxh3_64(own.as_bytes());
-        let draw = |replica: &InstanceName| xxh3_64_with_seed(replica.as_str().as_bytes(), seed);
-        self.heard.iter().max_by_key(|replica| draw(replica)).cloned()
+        let score = |replica: &InstanceName| xxh3_64_with_seed(replica.as_str().as_bytes(), seed);
+        self.reachable.iter().max_by_key(|replica| score(replica)).cloned()
     }
 
-    fn take_seeds(&mut self, seeds: &[crate::Seed]) {
+    fn add_seeds(&mut self, seeds: &[crate::Seed]) {
         self.seeds.extend(seeds.iter().map(|seed| seed.instance.clone()));
         let addresses = seeds.iter().map(|seed| (seed.instance.clone(), seed.address.clone()));
         self.addresses.extend(addresses);
     }
 
-    /// Takes replicas that others name; addresses from the settings go before theirs.
-    fn take_replicas(&mut self, replicas: impl IntoIterator<Item = (InstanceName, SmolStr)>) {
+    /// Adds replicas reported by other replicas. Addresses from the settings take precedence.
+    fn add_replicas(&mut self, replicas: impl IntoIterator<Item = (InstanceName, SmolStr)>) {
         for (name, address) in replicas {
             if !self.seeds.contains(&name) {
                 self.addresses.insert(name, address);
@@ -105,7 +104,7 @@
 }
 
 impl EntryNode {
-    /// Makes the control thread's state.
+    /// Creates the control thread's state.
     pub fn new(
         settings: Settings,
         clock: Clock,
@@ -115,45 +114,45 @@
         let settings = Rc::new(settings);
         let executor = Rc::new(LocalExecutor::new());
         let mut known = Known::default();
-        known.take_seeds(&settings.seeds);
+        known.add_seeds(&settings.seeds);
         let links = Links::new(settings, clock, executor.clone());
         let known = RefCell::new(known);
         let heard_from = HeardFrom::default();
         Rc::new(Self { clock, timers, executor, links, views, known, heard_from })
     }
 
-    /// Runs until `seeds`, by which new addresses of seeds come, closes, and `beside` on the same
-    /// thread.
+    /// Runs the control thread, with `background` on the same thread, until the channel `seeds` closes.
+    /// The channel delivers changed seed addresses.
     pub fn run(
         self: Rc<Self>,
         seeds: Receiver<Vec<crate::Seed>>,
-        beside: impl Future<Output = ()> + 'static,
+        background: impl Future<Output = ()> + 'static,
     ) {
-        self.executor.spawn(beside).detach();
+        self.executor.spawn(background).detach();
         self.watch_all();
-        self.executor.spawn(self.clone().confirm()).detach();
-        self.executor.spawn(self.clone().look_after_directory()).detach();
+        self.executor.spawn(self.clone().confirm_state()).detach();
+        self.executor.spawn(self.clone().expire_endpoints()).detach();
         let executor = self.executor.clone();
         smol::block_on(executor.run(async move {
             while let Ok(seeds) = seeds.recv().await {
-                self.take_seeds(&seeds);
+                self.add_seeds(&seeds);
             }
         }));
     }
 
-    fn take_seeds(self: &Rc<Self>, seeds: &[crate::Seed]) {
-        self.known.borrow_mut().take_seeds(seeds);
+    fn add_seeds(self: &Rc<Self>, seeds: &[crate::Seed]) {
+        self.known.borrow_mut().add_seeds(seeds);
         self.watch_all();
     }
 
-    /// Watches all replicas that are not watched yet.
+    /// Starts watching all known replicas that are not watched yet.
     fn watch_all(self: &Rc<Self>) {
         let names: Vec<InstanceName> = self.known.borrow().addresses.keys().cloned().collect();
         for name in names {
             if !self.known.borrow_mut().watched.insert(name.clone()) {
                 continue;
             }
-            let watcher = Rc::new(Watching(self.clone()));
+            let watcher = Rc::new(NodeWatcher(self.clone()));
             let task = async move {
                 let node = watcher.0.clone();
                 watch::watch(watcher, &node.links, node.clock, name).await;
@@ -162,21 +161,21 @@
         }
     }
 
-    async fn look_after_directory(self: Rc<Self>) {
-        let ticks = self.timers.subscribe(DIRECTORY_MS);
+    async fn expire_endpoints(self: Rc<Self>) {
+        let ticks = self.timers.subscribe(EXPIRE_INTERVAL_MS);
         while ticks.recv().await.is_ok() {
-            let over = {
+            let expired = {
                 let mut known = self.known.borrow_mut();
-                // An instance that hears no replica goes on with what it knows.
-                if known.heard.is_empty() {
+                // Without a reachable replica, the instance keeps the endpoints it knows.
+                if known.reachable.is_empty() {
                     continue;
                 }
                 known.directory.expire(self.clock.now_ms())
             };
-            for endpoint in &over {
+            for endpoint in &expired {
                 spdlog::warn!("endpoint forgotten: nobody watches over it", kv: { endpoint: = endpoint });
             }
-            if !over.is_empty() {
+            if !expired.is_empty() {
                 self.publish();
             }
         }
@@ -184,7 +183,7 @@
 
     fn publish(&self) {
         let known = self.known.borrow();
-        let before = self.views.get();
+        let previous = self.views.get();
         let leader = known.leader.clone().and_then(|name| {
             let address = known.addresses.get(&name)?.clone();
             Some((name, address))
@@ -194,19 +193,20 @@
             &known.directory,
             leader,
             known.confirmed,
-            &before,
+            &previous,
         ));
     }
 
-    /// Fetches what changed in the state, which the replica `from` has.
+    /// Fetches the state changes that the replica `from` has announced.
     ///
-    /// Load pattern: a document of some hundred routes changes, and hundreds of instances hear of it
-    /// from the leader first. Were all to fetch it there, no request would be placed meanwhile. So each
-    /// asks a replica of its own, which has it a heartbeat later, and `from` only where that fails.
+    /// When a document of several hundred routes changes, hundreds of instances learn of it from the
+    /// leader first. If all of them fetched it there, the leader would place no requests in the
+    /// meantime. Each instance therefore asks its assigned replica, which has the change one heartbeat
+    /// later, and falls back to `from` if that fails.
     async fn fetch(self: Rc<Self>, from: InstanceName) {
         let revision = self.known.borrow().state.revision;
-        let own_source = self.known.borrow().own_source(self.links.own_name());
-        let mut source = own_source.unwrap_or_else(|| from.clone());
+        let preferred_source = self.known.borrow().preferred_source(self.links.own_name());
+        let mut source = preferred_source.unwrap_or_else(|| from.clone());
         let mut fetched = self.follow(&source, revision, SOURCE_WAIT_MS).await;
         let has_changes = fetched.as_ref().is_ok_and(|feed| feed.revision > revision);
         if !has_changes && source != from {
@@ -215,12 +215,13 @@
         }
         self.known.borrow_mut().fetching = None;
         match fetched {
-            Ok(feed) => self.take_feed(feed, &source),
-            Err(error) => spdlog::warn!("changes not received", kv: { error: }),
+            Ok(feed) => self.apply_feed_from(feed, &source),
+            Err(error) => spdlog::warn!("failed to fetch state changes", kv: { error: }),
         }
     }
 
-    /// Asks a replica for what changed after `revision`, which it may not have for `wait_ms` yet.
+    /// Requests the changes after `revision` from a replica, which waits up to `wait_ms` until it has
+    /// some.
     async fn follow(
         &self,
         source: &InstanceName,
@@ -228,28 +229,28 @@
         wait_ms: u32,
     ) -> Result<Feed, PeerError> {
         let timeout_ms = match wait_ms {
-            0 => FETCH_MS,
-            wait_ms => u64::from(wait_ms) + SOURCE_ANSWER_MS,
+            0 => FETCH_TIMEOUT_MS,
+            wait_ms => u64::from(wait_ms) + SOURCE_REPLY_MS,
         };
         let call = |peer| feeds::follow(peer, revision, wait_ms);
         self.call("follow", source, timeout_ms, call).await
     }
 
-    fn take_feed(&self, feed: Feed, from: &InstanceName) {
-        let (taken, revision, version) = {
+    fn apply_feed_from(&self, feed: Feed, from: &InstanceName) {
+        let (applied, revision, version) = {
             let mut known = self.known.borrow_mut();
-            let taken = known.state.apply_feed(feed);
-            (taken, known.state.revision, known.state.document.document.version)
+            let applied = known.state.apply_feed(feed);
+            (applied, known.state.revision, known.state.document.document.version)
         };
-        if taken {
+        if applied {
             spdlog::info!("state taken", kv: { revision, document_version = version, from: = from });
             self.publish();
         }
     }
 
-    /// Reads the state through a quorum once, so that a restarted instance serves nothing older
-    /// than what was in force before.
-    async fn confirm(self: Rc<Self>) {
+    /// Reads the state through a quorum once, so that a restarted instance does not serve a state older
+    /// than the one in force before the restart.
+    async fn confirm_state(self: Rc<Self>) {
         loop {
             let leader = self.known.borrow().leader.clone();
             if let Some(name) = leader
@@ -259,21 +260,21 @@
                 self.known.borrow_mut().confirmed = true;
                 return self.publish();
             }
-            Timer::after(Duration::from_millis(CONFIRM_AGAIN_MS)).await;
+            Timer::after(Duration::from_millis(CONFIRM_RETRY_MS)).await;
         }
     }
 
     async fn confirm_at(&self, name: &InstanceName) -> bool {
         let revision = self.known.borrow().state.revision;
         let call = |peer| feeds::read(peer, revision);
-        match self.call("read", name, FETCH_MS, call).await {
+        match self.call("read", name, FETCH_TIMEOUT_MS, call).await {
             Ok(Some(feed)) => {
-                self.take_feed(feed, name);
+                self.apply_feed_from(feed, name);
                 true
             }
             Ok(None) => false,
             Err(error) => {
-                spdlog::debug!("state not confirmed", kv: { error: });
+                spdlog::debug!("failed to confirm the state at the leader", kv: { error: });
                 false
             }
         }
@@ -294,10 +295,10 @@
     }
 }
 
-/// The control thread as a watcher of replicas.
-struct Watching(Rc<EntryNode>);
+/// Applies what watched replicas report to the control thread's state.
+struct NodeWatcher(Rc<EntryNode>);
 
-impl Watcher for Watching {
+impl Watcher for NodeWatcher {
     fn heard_from(&self) -> &HeardFrom {
         &self.0.heard_from
     }
@@ -313,9 +314,9 @@
     fn take(&self, from: &InstanceName, news: News) {
         let node = &self.0;
         let now_ms = node.clock.now_ms();
-        let (changed, fetches, new_replicas) = {
+        let (changed, must_fetch, new_replicas) = {
             let mut known = node.known.borrow_mut();
-            let mut changed = known.heard.insert(from.clone());
+            let mut changed = known.reachable.insert(from.clone());
             if news.restarted {
                 known.directory.mark_restarted(now_ms, from);
             }
@@ -325,13 +326,13 @@
                 known.leader = news.leader;
                 changed = true;
             }
-            let before = known.addresses.len();
-            known.take_replicas(news.replicas);
-            let fetches = news.revision > known.state.revision && known.fetching.is_none();
-            if fetches {
+            let known_before = known.addresses.len();
+            known.add_replicas(news.replicas);
+            let must_fetch = news.revision > known.state.revision && known.fetching.is_none();
+            if must_fetch {
                 known.fetching = Some(news.revision);
             }
-            (changed, fetches, known.addresses.len() > before)
+            (changed, must_fetch, known.addresses.len() > known_before)
         };
         if changed {
             node.publish();
@@ -339,14 +340,14 @@
         if new_replicas {
             node.watch_all();
         }
-        if fetches {
+        if must_fetch {
             node.executor.spawn(node.clone().fetch(from.clone())).detach();
         }
     }
 
     fn silent(&self, peer: &InstanceName) {
         let mut known = self.0.known.borrow_mut();
-        known.heard.remove(peer);
+        known.reachable.remove(peer);
         known.directory.mark_unreachable(self.0.clock.now_ms(), peer);
     }
 }
--- a/crates/peer/src/entry/pause.rs
+++ b/crates/peer/src/entry/pause.rs
@@ -1,18 +1,19 @@
-//! What an instance may decide by itself after it was paused.
+//! Suspends local placement for a short time after the process was paused.
 //!
-//! A process that was stopped for seconds, or a machine that was suspended, goes on with what it knew
-//! before: endpoints that have left meanwhile, accounts that have used up their quota. So for a moment
-//! it sends requests nowhere by its own word, and waits for the leader, who knows better. Where no
-//! leader answers within that time, it is not the pause that keeps it from knowing.
+//! When a stopped process or a suspended machine resumes, its state is stale: endpoints may have left
+//! and client accounts may have used up their quota in the meantime. For `LEADER_WAIT_MS` after a
+//! pause, the instance therefore places no requests with its local dispatcher and waits for the
+//! leader, whose state is current. If no leader answers within that time, the pause is not the reason,
+//! and local placement resumes.
 
-/// From which gap between two moments in which it ran on an instance was paused, in milliseconds:
-/// well above what a busy machine keeps a process from running.
-const PAUSED_MS: u64 = 1_000;
-/// How long an instance that was paused waits for the leader, in milliseconds: some attempts to
-/// connect to it.
-const WAITS_MS: u64 = 1_000;
+/// The minimum gap between two observations of the running process that counts as a pause, in
+/// milliseconds: well above the scheduling delays on a busy machine.
+const PAUSE_THRESHOLD_MS: u64 = 1_000;
+/// How long an instance waits for the leader after a pause, in milliseconds: enough for several
+/// connection attempts.
+const LEADER_WAIT_MS: u64 = 1_000;
 
-/// Notices pauses of this process.
+/// Detects pauses of this process.
 ///
 /// # Examples
 /// ```
@@ -28,30 +29,30 @@
 /// ```
 #[derive(Clone, Copy, Debug)]
 pub struct PauseGuard {
-    /// When this process was last seen to run, in milliseconds.
-    ran_ms: u64,
-    /// Until when it waits for the leader, in milliseconds.
-    waits_until_ms: u64,
+    /// When the process was last observed running, in milliseconds.
+    last_run_ms: u64,
+    /// Until when requests wait for the leader, in milliseconds.
+    wait_until_ms: u64,
 }
 
 impl PauseGuard {
-    /// Makes a guard of a process that runs at `now_ms`.
+    /// Creates a guard for a process that is running at `now_ms`.
     pub fn new(now_ms: u64) -> Self {
-        Self { ran_ms: now_ms, waits_until_ms: 0 }
+        Self { last_run_ms: now_ms, wait_until_ms: 0 }
     }
 
-    /// Notes that the process runs; tells whether it was paused before.
+    /// Records that the process is running. Returns whether it was paused since the last call.
     pub fn note_running(&mut self, now_ms: u64) -> bool {
-        let was_paused = now_ms >= self.ran_ms + PAUSED_MS;
+        let was_paused = now_ms >= self.last_run_ms + PAUSE_THRESHOLD_MS;
         if was_paused {
-            self.waits_until_ms = now_ms + WAITS_MS;
+            self.wait_until_ms = now_ms + LEADER_WAIT_MS;
         }
-        self.ran_ms = now_ms;
+        self.last_run_ms = now_ms;
         was_paused
     }
 
-    /// Tells whether a request must wait for the leader's word, after the last pause that was noted.
+    /// Returns whether requests must wait for the leader because of the last detected pause.
     pub fn must_wait(&self, now_ms: u64) -> bool {
-        now_ms < self.waits_until_ms
+        now_ms < self.wait_until_ms
     }
 }
--- a/crates/peer/src/entry/placement.rs
+++ b/crates/peer/src/entry/placement.rs
@@ -1,9 +1,8 @@
-//! Places requests by the dispatcher at the leader, and by one of this instance's own while no
-//! leader answers.
+//! Places requests with the leader's dispatcher, or with the local one while no leader answers.
 //!
-//! Load pattern: the leader is lost under full load. Requests that wait for its word, and those
-//! that come until another one leads, are placed here by what this instance has in flight itself
-//! and by its part of the slots.
+//! If the leader is lost under full load, the requests that wait for its decision, and those that
+//! arrive before another leader is elected, are placed by the local dispatcher. It knows the requests
+//! that this instance has in flight and uses this instance's share of the slots.
 
 use super::{EntryView, PauseGuard};
 use crate::link::{Links, within};
@@ -33,37 +32,37 @@
 use std::time::Duration;
 use xxhash_rust::xxh3::xxh3_64;
 
-/// How long the leader may take to answer, in milliseconds: some round trips between failure domains,
-/// and a pause of the leader while it sends a large document to hundreds of instances.
-const ANSWER_MS: u64 = 250;
-/// How long a request waits until the leader is asked whether it is there, in milliseconds: several
-/// times as long as a decision takes where there is room.
-const DOUBT_MS: u64 = 30;
-/// How often the leader is asked that at most, in milliseconds.
-const ASK_BUSY_MS: u64 = 100;
-/// How often it is asked where no request waits for it, in milliseconds.
-const ASK_IDLE_MS: u64 = 500;
-/// How long to wait before the leader is looked for again, in milliseconds.
-const LOOK_AGAIN_MS: u64 = 100;
-/// How often the own dispatcher's time is moved on while requests wait, in milliseconds.
+/// The timeout for a reply of the leader, in milliseconds: several round trips between failure
+/// domains, plus a stall of the leader while it sends a large document to hundreds of instances.
+const REPLY_TIMEOUT_MS: u64 = 250;
+/// How long a request waits for the leader's decision before it triggers a probe of the leader, in
+/// milliseconds: several times the duration of a decision while slots are free.
+const SLOW_DECISION_MS: u64 = 30;
+/// The minimum interval between probes of the leader, in milliseconds.
+const PROBE_INTERVAL_MIN_MS: u64 = 100;
+/// The interval between probes of the leader while no request waits long for it, in milliseconds.
+const PROBE_INTERVAL_MS: u64 = 500;
+/// The delay between attempts to open a session with the leader, in milliseconds.
+const SESSION_RETRY_MS: u64 = 100;
+/// The tick interval of the local dispatcher while requests wait there, in milliseconds.
 const LOCAL_TICK_MS: u64 = 50;
-/// How often a request that must wait for the leader looks for it, in milliseconds.
-const LOOK_FOR_LEADER_MS: u64 = 20;
-/// The number of this instance at its own dispatcher.
+/// How often a request that must wait for the leader checks for a session, in milliseconds.
+const SESSION_CHECK_MS: u64 = 20;
+/// The number of this instance at its local dispatcher.
 const OWN_NUMBER: u32 = 0;
-/// How many instances there are where no leader has told it yet.
-const INSTANCES_GUESS: u32 = 8;
+/// The assumed number of instances until a leader reports it.
+const DEFAULT_INSTANCES: u32 = 8;
 
-/// The dispatcher at the leader, for as long as it answers.
+/// A session with the leader's dispatcher, which lasts as long as the leader answers.
 struct Session {
     leader: InstanceName,
     client: placement::Client,
-    /// Closed when the leader is given up.
+    /// Closed when the session ends.
     ended: Receiver<()>,
     _alive: Sender<()>,
 }
 
-/// Places requests of this instance.
+/// Places the requests of this instance, with the leader if possible and locally otherwise.
 pub struct LeaderPlacement {
     settings: Rc<Settings>,
     clock: Clock,
@@ -72,18 +71,19 @@
     views: Arc<Latest<EntryView>>,
     session: RefCell<Option<Rc<Session>>>,
     local: RefCell<Dispatcher>,
-    /// Those that wait for the own dispatcher.
-    deciding: RefCell<BTreeMap<u64, Sender<Decision>>>,
+    /// The requests that wait for a decision of the local dispatcher, by number.
+    pending_decisions: RefCell<BTreeMap<u64, Sender<Decision>>>,
+    /// The requests that are placed and not finished, by number.
     placed: RefCell<BTreeMap<u64, InFlight>>,
-    /// Told where a request waits for the leader's word for long.
-    doubts: (Sender<()>, Receiver<()>),
+    /// Signalled when a request waits long for the leader's decision.
+    probe_requests: (Sender<()>, Receiver<()>),
     pause_guard: RefCell<PauseGuard>,
     instances: Cell<u32>,
     last_number: Cell<u64>,
 }
 
 impl LeaderPlacement {
-    /// Makes a placement; its tasks run on `executor`.
+    /// Creates a placement whose tasks run on `executor`.
     pub fn new(
         settings: Settings,
         clock: Clock,
@@ -92,7 +92,7 @@
     ) -> Rc<Self> {
         let settings = Rc::new(settings);
         let links = Links::new(settings.clone(), clock, executor.clone());
-        let local = RefCell::new(Dispatcher::new(local_options(&settings, INSTANCES_GUESS)));
+        let local = RefCell::new(Dispatcher::new(local_options(&settings, DEFAULT_INSTANCES)));
         Rc::new(Self {
             settings,
             clock,
@@ -101,24 +101,24 @@
             views,
             session: RefCell::default(),
             local,
-            deciding: RefCell::default(),
+            pending_decisions: RefCell::default(),
             placed: RefCell::default(),
-            doubts: bounded(1),
+            probe_requests: bounded(1),
             pause_guard: RefCell::new(PauseGuard::new(clock.now_ms())),
-            instances: Cell::new(INSTANCES_GUESS),
+            instances: Cell::new(DEFAULT_INSTANCES),
             last_number: Cell::new(0),
         })
     }
 
-    /// Starts the tasks that keep the way to the leader and the own dispatcher up to date.
+    /// Starts the tasks that maintain the session with the leader and tick the local dispatcher.
     pub fn start(self: &Rc<Self>) {
-        self.executor.spawn(self.clone().follow_leader()).detach();
+        self.executor.spawn(self.clone().maintain_session()).detach();
         self.executor.spawn(self.clone().tick_local()).detach();
     }
 
-    /// Takes a new view.
-    pub fn take_view(&self, view: &EntryView, document_changed: bool) {
-        self.notice_pause();
+    /// Applies a new view to the local dispatcher.
+    pub fn apply_view(&self, view: &EntryView, document_changed: bool) {
+        self.check_pause();
         let now_ms = self.clock.now_ms();
         {
             let mut local = self.local.borrow_mut();
@@ -131,26 +131,26 @@
         self.deliver_local();
     }
 
-    /// Returns how many requests are at endpoints.
+    /// Returns the number of requests in flight at endpoints.
     pub fn in_flight(&self) -> usize {
         self.placed.borrow().len()
     }
 
-    /// Keeps a session with whoever leads.
-    async fn follow_leader(self: Rc<Self>) {
+    /// Maintains a session with the current leader.
+    async fn maintain_session(self: Rc<Self>) {
         loop {
             let leader = self.views.get().leader.clone();
             if let Some((name, address)) = leader {
-                match self.enter(&name, &address).await {
-                    Ok(alive) => self.keep_session(alive).await,
-                    Err(error) => spdlog::debug!("leader not entered", kv: { error: }),
+                match self.open_session(&name, &address).await {
+                    Ok(session) => self.probe_session(session).await,
+                    Err(error) => spdlog::debug!("failed to open a leader session", kv: { error: }),
                 }
             }
-            Timer::after(Duration::from_millis(LOOK_AGAIN_MS)).await;
+            Timer::after(Duration::from_millis(SESSION_RETRY_MS)).await;
         }
     }
 
-    async fn enter(
+    async fn open_session(
         &self,
         name: &InstanceName,
         address: &SmolStr,
@@ -160,10 +160,11 @@
         let in_flight: Vec<InFlight> = self.placed.borrow().values().cloned().collect();
         let usage = self.local.borrow().usage(self.clock.now_ms(), OWN_NUMBER);
         let entered = async {
-            let client = enter_at(peer, self.settings.instance.as_str(), &in_flight, &usage).await;
+            let client =
+                request_placement(peer, self.settings.instance.as_str(), &in_flight, &usage).await;
             client.map_err(|error| PeerError::failed(STEP, name.as_str(), error))
         };
-        let client = within(STEP, name, ANSWER_MS, entered).await;
+        let client = within(STEP, name, REPLY_TIMEOUT_MS, entered).await;
         if client.is_err() {
             self.links.drop_peer(name);
         }
@@ -172,21 +173,21 @@
         let session = Rc::new(session);
         spdlog::info!("requests are placed by the leader", kv: { leader: = name });
         *self.session.borrow_mut() = Some(session.clone());
-        self.tell_notices(|_| true);
-        self.hand_over();
+        self.send_notices(|_| true);
+        self.withdraw_local();
         Ok(session)
     }
 
-    /// Asks the leader whether it is there until it does not answer, or another one leads.
-    async fn keep_session(&self, session: Rc<Session>) {
+    /// Probes the leader until it stops answering or another leader is known, then ends the session.
+    async fn probe_session(&self, session: Rc<Session>) {
         loop {
-            self.await_doubt().await;
+            self.wait_for_probe().await;
             let leader = self.views.get().leader.clone();
-            let moved = leader.is_some_and(|(name, _)| name != session.leader);
-            let answer = if moved { None } else { self.ask_alive(&session).await };
-            let Some((instances, tight)) = answer else { break };
-            self.note_instances(instances);
-            self.local.borrow_mut().set_accounts_near_quota(tight);
+            let leader_changed = leader.is_some_and(|(name, _)| name != session.leader);
+            let reply = if leader_changed { None } else { self.probe_leader(&session).await };
+            let Some((instances, near_quota)) = reply else { break };
+            self.update_instances(instances);
+            self.local.borrow_mut().set_accounts_near_quota(near_quota);
         }
         spdlog::warn!("leader lost: requests are placed here", kv: { leader: = session.leader });
         self.session.borrow_mut().take();
@@ -194,41 +195,41 @@
         self.links.drop_peer(&session.leader);
     }
 
-    /// Waits until the leader is to be asked whether it is there.
-    async fn await_doubt(&self) {
-        Timer::after(Duration::from_millis(ASK_BUSY_MS)).await;
-        let doubted = async {
+    /// Waits until the next probe of the leader is due.
+    async fn wait_for_probe(&self) {
+        Timer::after(Duration::from_millis(PROBE_INTERVAL_MIN_MS)).await;
+        let slow_decision = async {
             // The channel is never closed: this placement holds both ends.
-            let _ = self.doubts.1.recv().await;
+            let _ = self.probe_requests.1.recv().await;
         };
-        lycheehub_clock::within(ASK_IDLE_MS - ASK_BUSY_MS, doubted).await;
+        lycheehub_clock::within(PROBE_INTERVAL_MS - PROBE_INTERVAL_MIN_MS, slow_decision).await;
     }
 
-    /// Returns how many instances the leader serves, and which client accounts have used up most of
-    /// their quota.
-    async fn ask_alive(&self, session: &Session) -> Option<(u32, BTreeSet<AccountName>)> {
+    /// Sends a heartbeat to the leader. Returns the number of instances that the leader serves and the
+    /// client accounts that are near their quota, or `None` if the leader does not answer.
+    async fn probe_leader(&self, session: &Session) -> Option<(u32, BTreeSet<AccountName>)> {
         let asked = async {
             let mut request = session.client.finish_request();
             request.get().init_finished(0);
             let reply = request.send().promise.await?;
             let reply = reply.get()?;
-            let mut tight = BTreeSet::new();
+            let mut near_quota = BTreeSet::new();
             for account in reply.get_tight()? {
-                tight.insert(AccountName::from(account?.to_str()?));
+                near_quota.insert(AccountName::from(account?.to_str()?));
             }
-            Ok::<_, capnp::Error>((reply.get_instances(), tight))
+            Ok::<_, capnp::Error>((reply.get_instances(), near_quota))
         };
-        within_own_time(ANSWER_MS, asked).await?.ok()
+        within_running_time(REPLY_TIMEOUT_MS, asked).await?.ok()
     }
 
-    fn note_instances(&self, instances: u32) {
+    fn update_instances(&self, instances: u32) {
         if instances > 0 && instances != self.instances.replace(instances) {
             let options = local_options(&self.settings, instances);
             self.local.borrow_mut().set_options(options);
         }
     }
 
-    /// Asks the leader; nothing where it is given up meanwhile.
+    /// Requests a decision from the leader. Returns `None` if the session ends first.
     async fn place_at_leader(&self, session: &Session, job: &Job) -> Option<Decision> {
         let asked = async {
             let mut request = session.client.place_request();
@@ -237,57 +238,60 @@
             Ok::<Decision, capnp::Error>(read_decision(job.job_id, reply.get()?.get_decision()?)?)
         };
         let ended = async {
-            // Nothing is ever sent: the channel closes when the leader is given up.
+            // Nothing is ever sent on this channel; it closes when the session ends.
             let _ = session.ended.recv().await;
             None
         };
-        let doubted = async {
-            Timer::after(Duration::from_millis(DOUBT_MS)).await;
-            // A full channel says the same.
-            let _ = self.doubts.0.try_send(());
+        let slow_decision = async {
+            Timer::after(Duration::from_millis(SLOW_DECISION_MS)).await;
+            // If the channel is full, a probe is already requested.
+            let _ = self.probe_requests.0.try_send(());
             smol::future::pending().await
         };
-        let given_up = smol::future::or(ended, doubted);
-        smol::future::or(async { asked.await.ok() }, given_up).await
+        let session_lost = smol::future::or(ended, slow_decision);
+        smol::future::or(async { asked.await.ok() }, session_lost).await
     }
 
-    /// Asks the own dispatcher; nothing where the request is handed over to a leader meanwhile.
-    async fn place_here(&self, job: Job) -> Option<Decision> {
+    /// Requests a decision from the local dispatcher. Returns `None` if the request is withdrawn first,
+    /// for example to be placed by the leader.
+    async fn place_locally(&self, job: Job) -> Option<Decision> {
         let (sender, receiver) = bounded(1);
-        self.deciding.borrow_mut().insert(job.job_id.number, sender);
+        self.pending_decisions.borrow_mut().insert(job.job_id.number, sender);
         self.local.borrow_mut().submit(self.clock.now_ms(), job);
         self.deliver_local();
         receiver.recv().await.ok()
     }
 
-    /// Looks whether this process was paused; what waits here by what it knew before is handed over.
-    fn notice_pause(&self) {
+    /// Checks whether the process was paused. If so, withdraws the requests that wait here, because the
+    /// local state is stale.
+    fn check_pause(&self) {
         if self.pause_guard.borrow_mut().note_running(self.clock.now_ms()) {
             spdlog::warn!("paused: requests wait for the leader");
-            self.hand_over();
+            self.withdraw_local();
         }
     }
 
-    /// Hands all that waits here over to the leader, which has all slots to give.
-    fn hand_over(&self) {
-        let waiting = std::mem::take(&mut *self.deciding.borrow_mut());
+    /// Withdraws all requests that wait at the local dispatcher, so that [`Placement::place`] submits
+    /// them to the leader, which can grant all slots.
+    fn withdraw_local(&self) {
+        let withdrawn = std::mem::take(&mut *self.pending_decisions.borrow_mut());
         let now_ms = self.clock.now_ms();
         let mut local = self.local.borrow_mut();
-        for number in waiting.keys() {
+        for number in withdrawn.keys() {
             local.withdraw(now_ms, JobId { instance: OWN_NUMBER, number: *number });
         }
-        if !waiting.is_empty() {
-            let count = waiting.len() as u64;
+        if !withdrawn.is_empty() {
+            let count = withdrawn.len() as u64;
             spdlog::info!("waiting requests handed over to the leader", kv: { count });
         }
     }
 
-    /// Tells the leader what the `wanted` endpoints have said to this instance.
-    fn tell_notices(&self, wanted: impl Fn(&EndpointName) -> bool) {
+    /// Sends the leader the notices that this instance has received from the `wanted` endpoints.
+    fn send_notices(&self, wanted: impl Fn(&EndpointName) -> bool) {
         let notices = self.local.borrow().notices(self.clock.now_ms(), OWN_NUMBER);
         for (endpoint, incarnation, notice) in notices.into_iter().filter(|(name, ..)| wanted(name))
         {
-            self.tell(|client| {
+            self.send_to_leader(|client| {
                 let mut request = client.heed_request();
                 request.get().set_endpoint(endpoint.as_str());
                 write_notice(notice, incarnation, request.get());
@@ -296,11 +300,11 @@
         }
     }
 
-    /// Tells whether a decision is for an endpoint that wants nothing from this instance, which its
-    /// leader has not heard.
+    /// Returns the endpoint of a decision if this instance excludes that endpoint.
     ///
-    /// Load pattern: a leader has just begun, or decided before the endpoint's word reached it.
-    fn goes_astray(&self, decision: &Decision) -> Option<EndpointName> {
+    /// This happens when a new leader has not received the endpoint's notice yet, or decided before the
+    /// notice reached it.
+    fn excluded_endpoint(&self, decision: &Decision) -> Option<EndpointName> {
         let Decision::Place { endpoint, .. } = decision else { return None };
         self.is_excluded(endpoint).then(|| endpoint.clone())
     }
@@ -309,8 +313,8 @@
         let decisions = self.local.borrow_mut().take_decisions();
         for decision in decisions {
             let (Decision::Place { job_id, .. } | Decision::Refuse { job_id, .. }) = &decision;
-            if let Some(sender) = self.deciding.borrow_mut().remove(&job_id.number) {
-                // One that no longer waits has withdrawn.
+            if let Some(sender) = self.pending_decisions.borrow_mut().remove(&job_id.number) {
+                // The receiver is gone if the request was withdrawn.
                 let _ = sender.try_send(decision);
             }
         }
@@ -319,15 +323,15 @@
     async fn tick_local(self: Rc<Self>) {
         loop {
             Timer::after(Duration::from_millis(LOCAL_TICK_MS)).await;
-            self.notice_pause();
-            if !self.deciding.borrow().is_empty() {
+            self.check_pause();
+            if !self.pending_decisions.borrow().is_empty() {
                 self.local.borrow_mut().tick(self.clock.now_ms());
                 self.deliver_local();
             }
         }
     }
 
-    fn note_placed(&self, job: &Job, decision: &Decision, by_leader: bool) {
+    fn record_placed(&self, job: &Job, decision: &Decision, by_leader: bool) {
         let Decision::Place { endpoint, .. } = decision else { return };
         let memory_tokens = u64::from(job.prompt_tokens) + u64::from(job.output_tokens);
         let in_flight = InFlight {
@@ -346,19 +350,19 @@
         self.placed.borrow_mut().insert(job.job_id.number, in_flight);
     }
 
-    /// Sends a word to the leader, if there is one, without waiting for its answer.
-    fn tell<Params, Results>(
+    /// Sends a request to the leader, if there is a session, without waiting for the reply.
+    fn send_to_leader<Params, Results>(
         &self,
-        word: impl FnOnce(&placement::Client) -> Request<Params, Results>,
+        build: impl FnOnce(&placement::Client) -> Request<Params, Results>,
     ) where
         Results: Owned + Pipelined + Unpin + 'static,
         Results::Pipeline: FromTypelessPipeline,
     {
         let Some(session) = self.session.borrow().clone() else { return };
-        let sent = word(&session.client).send().promise;
+        let sent = build(&session.client).send().promise;
         let task = async move {
             if let Err(error) = sent.await {
-                spdlog::debug!("word to the leader lost", kv: { error: });
+                spdlog::debug!("failed to send a request to the leader", kv: { error: });
             }
         };
         self.executor.spawn(task).detach();
@@ -374,30 +378,30 @@
 
     fn place(&self, mut job: Job) -> DecisionFuture<'_> {
         Box::pin(async move {
-            let asked_ms = self.clock.now_ms();
+            let submitted_ms = self.clock.now_ms();
             loop {
-                let job_now = || job.after(self.clock.now_ms() - asked_ms);
+                let aged_job = || job.after(self.clock.now_ms() - submitted_ms);
                 let session = self.session.borrow().clone();
                 if let Some(session) = session
-                    && let Some(decision) = self.place_at_leader(&session, &job_now()).await
+                    && let Some(decision) = self.place_at_leader(&session, &aged_job()).await
                 {
-                    if let Some(endpoint) = self.goes_astray(&decision) {
+                    if let Some(endpoint) = self.excluded_endpoint(&decision) {
                         spdlog::info!("endpoint not used: it wants nothing", kv: { endpoint: });
                         self.withdraw(job.job_id);
-                        self.tell_notices(|name| *name == endpoint);
+                        self.send_notices(|name| *name == endpoint);
                         job.tried.push(endpoint);
                         continue;
                     }
-                    self.note_placed(&job, &decision, true);
+                    self.record_placed(&job, &decision, true);
                     return decision;
                 }
-                self.notice_pause();
+                self.check_pause();
                 if self.pause_guard.borrow().must_wait(self.clock.now_ms()) {
-                    Timer::after(Duration::from_millis(LOOK_FOR_LEADER_MS)).await;
+                    Timer::after(Duration::from_millis(SESSION_CHECK_MS)).await;
                     continue;
                 }
-                if let Some(decision) = self.place_here(job_now()).await {
-                    self.note_placed(&job, &decision, false);
+                if let Some(decision) = self.place_locally(aged_job()).await {
+                    self.record_placed(&job, &decision, false);
                     return decision;
                 }
             }
@@ -405,11 +409,11 @@
     }
 
     fn finish(&self, finished: Finished) {
-        self.notice_pause();
+        self.check_pause();
         self.placed.borrow_mut().remove(&finished.job_id.number);
         self.local.borrow_mut().finish(self.clock.now_ms(), finished);
         self.deliver_local();
-        self.tell(|client| {
+        self.send_to_leader(|client| {
             let mut request = client.finish_request();
             write_finished(&[finished], request.get().init_finished(1));
             request
@@ -418,7 +422,7 @@
 
     fn report_stall(&self, job_id: JobId) {
         self.local.borrow_mut().report_stall(self.clock.now_ms(), job_id);
-        self.tell(|client| {
+        self.send_to_leader(|client| {
             let mut request = client.stalled_request();
             request.get().set_number(job_id.number);
             request
@@ -428,7 +432,7 @@
     fn record_notice(&self, endpoint: &EndpointName, notice: Notice) {
         let now_ms = self.clock.now_ms();
         self.local.borrow_mut().record_notice(now_ms, OWN_NUMBER, (endpoint, None), notice);
-        self.tell_notices(|name| name == endpoint);
+        self.send_notices(|name| name == endpoint);
     }
 
     fn is_excluded(&self, endpoint: &EndpointName) -> bool {
@@ -436,11 +440,11 @@
     }
 
     fn withdraw(&self, job_id: JobId) {
-        self.deciding.borrow_mut().remove(&job_id.number);
+        self.pending_decisions.borrow_mut().remove(&job_id.number);
         self.placed.borrow_mut().remove(&job_id.number);
         self.local.borrow_mut().withdraw(self.clock.now_ms(), job_id);
         self.deliver_local();
-        self.tell(|client| {
+        self.send_to_leader(|client| {
             let mut request = client.withdraw_request();
             request.get().set_number(job_id.number);
             request
@@ -448,19 +452,19 @@
     }
 }
 
-/// Does `work` for at most `bound_ms` in which this process runs: one that was paused itself takes the
-/// answers that came meanwhile before it gives anybody up.
-async fn within_own_time<T>(bound_ms: u64, work: impl Future<Output = T>) -> Option<T> {
+/// Runs `work` with a timeout that is split in two halves, so that a process that was paused itself
+/// handles the replies that arrived in the meantime before it reports a timeout.
+async fn within_running_time<T>(timeout_ms: u64, work: impl Future<Output = T>) -> Option<T> {
     let mut work = pin!(work);
-    for part_ms in [bound_ms / 2, bound_ms - bound_ms / 2] {
-        if let Some(done) = lycheehub_clock::within(part_ms, &mut work).await {
-            return Some(done);
+    for half_ms in [timeout_ms / 2, timeout_ms - timeout_ms / 2] {
+        if let Some(output) = lycheehub_clock::within(half_ms, &mut work).await {
+            return Some(output);
         }
     }
     None
 }
 
-async fn enter_at(
+async fn request_placement(
     peer: peer::Client,
     own: &str,
     in_flight: &[InFlight],
@@ -474,7 +478,7 @@
     reply.get()?.get_placement()
 }
 
-/// Returns the options of an instance's own dispatcher among `instances`.
+/// Returns the options of the local dispatcher of one of `instances` instances.
 fn local_options(settings: &Settings, instances: u32) -> Options {
     let share = 1.0 / f64::from(instances.max(1));
     let slot_salt = xxh3_64(settings.instance.as_str().as_bytes());
--- a/crates/peer/src/entry/view.rs
+++ b/crates/peer/src/entry/view.rs
@@ -1,4 +1,4 @@
-//! What the control thread of an entry instance shows to its traffic thread.
+//! The view that the control thread of an entry instance publishes to its traffic thread.
 
 use lycheehub_control::State;
 use lycheehub_control::directory::Directory;
@@ -9,22 +9,22 @@
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-/// An immutable view, replaced whole.
+/// An immutable snapshot; each update publishes a new one.
 #[derive(Clone, Debug, Default)]
 pub struct EntryView {
-    /// The revision of the state that the view shows.
+    /// The revision of the state in this view.
     pub revision: u64,
-    /// The revision of the route document; 0 where there is none yet.
+    /// The revision of the route document; 0 if there is none yet.
     pub document_revision: u64,
-    /// The route document.
+    /// The routes of the route document.
     pub table: Arc<RouteTable>,
-    /// The endpoints that are there.
+    /// The live endpoints.
     pub endpoints: Vec<EndpointRecord>,
     /// The newest rollout of each service.
     pub rollouts: BTreeMap<ServiceName, RolloutRecord>,
-    /// The leader, and where it listens for peers.
+    /// The leader and its peer address.
     pub leader: Option<(InstanceName, SmolStr)>,
-    /// A quorum has confirmed the document since the start.
+    /// Whether a quorum has confirmed the state since this process started.
     pub confirmed: bool,
 }
 
@@ -34,11 +34,11 @@
         directory: &Directory,
         leader: Option<(InstanceName, SmolStr)>,
         confirmed: bool,
-        before: &Self,
+        previous: &Self,
     ) -> Self {
         let document_revision = state.document.revision;
-        let table = if before.document_revision == document_revision {
-            before.table.clone()
+        let table = if previous.document_revision == document_revision {
+            previous.table.clone()
         } else {
             Arc::new(RouteTable::new(state.document.document.clone()))
         };
@@ -53,7 +53,7 @@
         }
     }
 
-    /// Tells whether requests may be taken by this view.
+    /// Returns whether the instance may accept requests with this view.
     ///
     /// # Examples
     /// ```
