--- a/crates/cli/src/roles/lists.rs
+++ b/crates/cli/src/roles/lists.rs
@@ -2,7 +2,7 @@
 
 use http_types::{Method, Request, Response, StatusCode};
 use lycheehub_gateway::http::json;
-use lycheehub_peer::{Census, Control, SeenEndpoint, SeenInstance};
+use lycheehub_peer::{ClusterStatus, Control, EndpointStatus, InstanceStatus};
 use lycheehub_types::{EndpointRecord, InstanceName};
 use serde::Serialize;
 
@@ -18,8 +18,8 @@
     heard_by: &'a InstanceName,
 }
 
-impl<'a> From<&'a SeenEndpoint> for Endpoint<'a> {
-    fn from(seen: &'a SeenEndpoint) -> Self {
+impl<'a> From<&'a EndpointStatus> for Endpoint<'a> {
+    fn from(seen: &'a EndpointStatus) -> Self {
         Self { record: &seen.record, heard_by: &seen.heard_by }
     }
 }
@@ -40,8 +40,8 @@
     live: bool,
 }
 
-impl<'a> From<&'a SeenInstance> for Instance<'a> {
-    fn from(seen: &'a SeenInstance) -> Self {
+impl<'a> From<&'a InstanceStatus> for Instance<'a> {
+    fn from(seen: &'a InstanceStatus) -> Self {
         Self {
             instance: &seen.instance,
             holds_replica: seen.holds_replica,
@@ -51,14 +51,14 @@
     }
 }
 
-impl<'a> From<&'a Census> for Instances<'a> {
-    fn from(census: &'a Census) -> Self {
+impl<'a> From<&'a ClusterStatus> for Instances<'a> {
+    fn from(status: &'a ClusterStatus) -> Self {
         let is_behind =
-            |seen: &SeenInstance| seen.is_live && seen.revision_in_force < census.revision;
+            |seen: &InstanceStatus| seen.is_live && seen.revision_in_force < status.revision;
         Self {
-            revision: census.revision,
-            in_force_everywhere: !census.instances.iter().any(is_behind),
-            instances: census.instances.iter().map(Instance::from).collect(),
+            revision: status.revision,
+            in_force_everywhere: !status.instances.iter().any(is_behind),
+            instances: status.instances.iter().map(Instance::from).collect(),
         }
     }
 }
@@ -69,14 +69,14 @@
     if request.method() != Method::Get || !matches!(path, "endpoints" | "instances") {
         return None;
     }
-    let Some(census) = control.census().await else {
+    let Some(status) = control.cluster_status().await else {
         return Some(Response::new(StatusCode::ServiceUnavailable));
     };
     Some(match path {
         "endpoints" => {
-            let endpoints = census.endpoints.iter().map(Endpoint::from).collect();
+            let endpoints = status.endpoints.iter().map(Endpoint::from).collect();
             json(200, &Endpoints { endpoints })
         }
-        _ => json(200, &Instances::from(&census)),
+        _ => json(200, &Instances::from(&status)),
     })
 }
--- a/crates/cli/src/settings/load.rs
+++ b/crates/cli/src/settings/load.rs
@@ -159,7 +159,7 @@
             peer_key,
             may_found: true,
             copies_min: 1,
-            balances: true,
+            runs_controllers: true,
             consensus: lycheehub_consensus::Options::default(),
             dispatch: lycheehub_dispatch::Options::default(),
         },
--- a/crates/gateway/src/operators/lists.rs
+++ b/crates/gateway/src/operators/lists.rs
@@ -4,7 +4,7 @@
 use crate::http::json;
 use http_types::Response;
 use lycheehub_control::state::{MoveRecord, SectionRecord};
-use lycheehub_peer::Statement;
+use lycheehub_peer::CommittedState;
 use lycheehub_types::{EndpointRecord, InstanceRecord, Refusal, RefusalKind, SectionName};
 use serde::Serialize;
 use std::collections::BTreeMap;
@@ -48,7 +48,7 @@
     instances: Vec<Instance<'a>>,
 }
 
-async fn read(gateway: &Gateway) -> Result<Statement, Refusal> {
+async fn read(gateway: &Gateway) -> Result<CommittedState, Refusal> {
     const RETRY_MS: u64 = 1_000;
     gateway.control.read().await.map_err(|kind| {
         Refusal::retry(kind, "no quorum of control replicas confirms what is committed", RETRY_MS)
--- a/crates/peer/src/auth.rs
+++ b/crates/peer/src/auth.rs
@@ -1,41 +1,48 @@
-//! Proofs by which both ends of a connection show that they hold the peer key.
+//! Mutual authentication: both ends of a connection prove with an HMAC that they hold the peer key.
 
 use hmac::{Hmac, Mac};
 use rand::RngCore;
 use sha2::Sha256;
 use subtle::ConstantTimeEq;
 
-/// The bytes of a nonce.
+/// The length of a nonce, in bytes.
 pub(crate) const NONCE_BYTES: usize = 32;
 
-/// Which end of a connection proves itself.
+/// The end of a connection that computes a proof.
 #[derive(Clone, Copy, Debug)]
-pub(crate) enum End {
-    Caller,
-    Answerer,
+pub(crate) enum Role {
+    Initiator,
+    Responder,
 }
 
-impl End {
+impl Role {
     fn label(self) -> &'static [u8] {
         match self {
-            Self::Caller => b"caller",
-            Self::Answerer => b"answerer",
+            Self::Initiator => b"caller",
+            Self::Responder => b"answerer",
         }
     }
 }
 
+/// Generates a random nonce.
 pub(crate) fn nonce() -> Vec<u8> {
     let mut bytes = vec![0; NONCE_BYTES];
     rand::rng().fill_bytes(&mut bytes);
     bytes
 }
 
-/// Proves that one end holds the key, for both ends' nonces and the caller's name.
-pub(crate) fn prove(key: &[u8], end: End, theirs: &[u8], ours: &[u8], instance: &str) -> Vec<u8> {
+/// Computes the proof of one end: an HMAC over both nonces and the initiator's instance name.
+pub(crate) fn prove(
+    key: &[u8],
+    role: Role,
+    responder_nonce: &[u8],
+    initiator_nonce: &[u8],
+    instance: &str,
+) -> Vec<u8> {
     let Ok(mut mac) = Hmac::<Sha256>::new_from_slice(key) else { return Vec::new() };
-    for part in [end.label(), theirs, ours, instance.as_bytes()] {
-        mac.update(&(part.len() as u64).to_le_bytes());
-        mac.update(part);
+    for field in [role.label(), responder_nonce, initiator_nonce, instance.as_bytes()] {
+        mac.update(&(field.len() as u64).to_le_bytes());
+        mac.update(field);
     }
     mac.finalize().into_bytes().to_vec()
 }
--- a/crates/peer/src/control.rs
+++ b/crates/peer/src/control.rs
@@ -1,4 +1,4 @@
-//! The handle by which traffic threads reach the control thread.
+//! The handle through which traffic threads call the control thread.
 
 use lycheehub_control::placement::LoadOrder;
 use lycheehub_control::state::{Command, DocumentRecord, MoveRecord, RolloutRecord, SectionRecord};
@@ -11,102 +11,104 @@
 use smol_str::SmolStr;
 use std::collections::BTreeMap;
 
-/// Where the answers of this instance's own requests are kept.
+/// The store of answers to the requests that this instance dispatched.
 pub trait AnswerSource: Send + Sync {
-    /// Returns what is known of the answer to a request.
+    /// Returns the state of the answer to a request.
     fn answer(&self, request: u64) -> KeptAnswer;
 }
 
-/// Where orders to endpoints are sent from.
+/// Sends load orders to endpoints.
 pub trait OrderSink: Send + Sync {
-    /// Sends an order while it is valid; whether it was taken shows in later announcements.
+    /// Sends an order while it is valid. Later announcements of the endpoint show whether it accepted
+    /// the order.
     fn send(&self, order: LoadOrder);
 }
 
-/// What is committed, as confirmed by a quorum.
+/// The committed state, as confirmed by a quorum.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Statement {
-    /// The newest revision.
+pub struct CommittedState {
+    /// The latest revision.
     pub revision: u64,
     /// All sections.
     pub sections: BTreeMap<SectionName, SectionRecord>,
     /// All moves.
     pub moves: BTreeMap<SmolStr, MoveRecord>,
-    /// The route document; of revision 0 where there is none.
+    /// The route document, with revision 0 if there is none.
     pub document: DocumentRecord,
-    /// The newest rollout of each service.
+    /// The latest rollout of each service.
     pub rollouts: BTreeMap<ServiceName, RolloutRecord>,
 }
 
-/// An endpoint as a control instance sees it.
+/// The status of an endpoint, as a control instance knows it.
 #[derive(Clone, Debug, PartialEq)]
-pub struct SeenEndpoint {
-    /// What it last said of itself.
+pub struct EndpointStatus {
+    /// The last announcement of the endpoint.
     pub record: EndpointRecord,
-    /// The instance that heard it last.
+    /// The instance that received the last announcement.
     pub heard_by: InstanceName,
 }
 
-/// An instance as a control instance sees it.
+/// The status of an instance, as a control instance knows it.
 #[derive(Clone, Debug, PartialEq)]
-pub struct SeenInstance {
-    /// The instance.
+pub struct InstanceStatus {
+    /// The name of the instance.
     pub instance: InstanceName,
     /// Whether it holds a control replica.
     pub holds_replica: bool,
-    /// The revision that it has.
+    /// The revision that the instance has in force.
     pub revision_in_force: u64,
-    /// Whether it was heard of late.
+    /// Whether the instance was heard from recently.
     pub is_live: bool,
 }
 
-/// What a control instance knows of others.
+/// The endpoints and instances that a control instance knows.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Census {
-    /// The revision here.
+pub struct ClusterStatus {
+    /// The revision of this control instance.
     pub revision: u64,
-    /// The endpoints that are there, leaving ones included.
-    pub endpoints: Vec<SeenEndpoint>,
-    /// The instances that were heard within the last minute.
-    pub instances: Vec<SeenInstance>,
+    /// The live endpoints, including those that are leaving.
+    pub endpoints: Vec<EndpointStatus>,
+    /// The instances that were heard from within the last minute.
+    pub instances: Vec<InstanceStatus>,
 }
 
-/// A request to the control thread; the answer goes to the sender inside.
+/// A request to the control thread, with the channel for the reply.
 #[derive(Debug)]
 pub enum ControlRequest {
     /// Commits a command.
     Propose(Command, Sender<ProposeReply>),
-    /// Reads what is committed, nothing without a quorum.
-    Read(Sender<Option<Statement>>),
-    /// Tells what is known of endpoints and instances.
-    Census(Sender<Census>),
-    /// Takes an endpoint's announcement.
+    /// Reads the committed state; replies with `None` without a quorum.
+    Read(Sender<Option<CommittedState>>),
+    /// Reads the status of endpoints and instances.
+    ClusterStatus(Sender<ClusterStatus>),
+    /// Applies an endpoint's announcement to the registry.
     Announce(EndpointRecord),
-    /// Takes an endpoint's announcement into the directory.
-    Hear(EndpointRecord),
-    /// Takes the word of an endpoint that it leaves for good; answers whether that takes effect.
+    /// Applies an endpoint's announcement to the directory.
+    AnnounceToDirectory(EndpointRecord),
+    /// Withdraws an endpoint that leaves permanently; replies whether that took effect.
     Withdraw(EndpointName, Sender<bool>),
-    /// Takes what the scheduler wants and has seen.
+    /// Reports the scheduler's demands and observations.
     Report(Demands),
-    /// Asks another instance for the answer to a request that it dispatched.
+    /// Fetches the answer to a request from the instance that dispatched it.
     Answer(InstanceName, u64, u64, Sender<Option<KeptAnswer>>),
-    /// This instance is shutting down; answers once leadership and the last reports are passed on.
+    /// Prepares the shutdown of this instance; replies once leadership is transferred and the last
+    /// reports are sent.
     Stop(Sender<()>),
 }
 
-/// The handle.
+/// A handle to the control thread.
 #[derive(Clone, Debug)]
 pub struct Control {
     sender: Sender<ControlRequest>,
 }
 
 impl Control {
-    /// Makes a handle that sends to the control thread.
+    /// Creates a handle that sends requests to the control thread.
     pub fn new(sender: Sender<ControlRequest>) -> Self {
         Self { sender }
     }
 
-    async fn ask<T>(&self, request: impl FnOnce(Sender<T>) -> ControlRequest) -> Option<T> {
+    async fn call<T>(&self, request: impl FnOnce(Sender<T>) -> ControlRequest) -> Option<T> {
         let (sender, receiver) = bounded(1);
         self.sender.send(request(sender)).await.ok()?;
         receiver.recv().await.ok()
@@ -114,49 +116,49 @@
 
     /// Commits a command.
     pub async fn propose(&self, command: Command) -> ProposeReply {
-        let reply = self.ask(|sender| ControlRequest::Propose(command, sender)).await;
+        let reply = self.call(|sender| ControlRequest::Propose(command, sender)).await;
         reply.unwrap_or(ProposeReply::Unknown)
     }
 
-    /// Reads what is committed.
+    /// Reads the committed state.
     ///
     /// # Errors
-    /// Fails where no quorum confirms it.
-    pub async fn read(&self) -> Result<Statement, RefusalKind> {
-        self.ask(ControlRequest::Read).await.flatten().ok_or(RefusalKind::NoQuorum)
+    /// Fails if no quorum confirms it.
+    pub async fn read(&self) -> Result<CommittedState, RefusalKind> {
+        self.call(ControlRequest::Read).await.flatten().ok_or(RefusalKind::NoQuorum)
     }
 
-    /// Returns what is known of endpoints and instances; nothing where the control thread has ended.
-    pub async fn census(&self) -> Option<Census> {
-        self.ask(ControlRequest::Census).await
+    /// Returns the status of endpoints and instances, or `None` if the control thread has ended.
+    pub async fn cluster_status(&self) -> Option<ClusterStatus> {
+        self.call(ControlRequest::ClusterStatus).await
     }
 
-    /// Passes an endpoint's announcement on.
+    /// Applies an endpoint's announcement to the registry.
     pub async fn announce(&self, record: EndpointRecord) {
-        // The control thread is gone only when the process ends.
+        // Sending fails only if the control thread has ended, that is, during process exit.
         let _ = self.sender.send(ControlRequest::Announce(record)).await;
     }
 
-    /// Passes an endpoint's announcement on to the directory.
-    pub async fn hear(&self, record: EndpointRecord) {
-        // The control thread is gone only when the process ends.
-        let _ = self.sender.send(ControlRequest::Hear(record)).await;
+    /// Applies an endpoint's announcement to the directory.
+    pub async fn announce_to_directory(&self, record: EndpointRecord) {
+        // Sending fails only if the control thread has ended, that is, during process exit.
+        let _ = self.sender.send(ControlRequest::AnnounceToDirectory(record)).await;
     }
 
-    /// Passes on that an endpoint leaves for good; tells whether that takes effect.
+    /// Withdraws an endpoint that leaves permanently. Returns whether that took effect.
     pub async fn withdraw(&self, endpoint: EndpointName) -> bool {
-        let taken = self.ask(|sender| ControlRequest::Withdraw(endpoint, sender)).await;
-        taken.unwrap_or(false)
+        let is_withdrawn = self.call(|sender| ControlRequest::Withdraw(endpoint, sender)).await;
+        is_withdrawn.unwrap_or(false)
     }
 
-    /// Passes on what the scheduler wants and has seen.
+    /// Reports the scheduler's demands and observations.
     pub async fn report(&self, demands: Demands) {
-        // The control thread is gone only when the process ends.
+        // Sending fails only if the control thread has ended, that is, during process exit.
         let _ = self.sender.send(ControlRequest::Report(demands)).await;
     }
 
-    /// Asks the instance of this incarnation for the answer to a request; nothing if it cannot be
-    /// reached.
+    /// Fetches the answer to a request from the given incarnation of an instance. Returns `None` if the
+    /// instance is unreachable.
     pub async fn answer(
         &self,
         of: &InstanceName,
@@ -164,11 +166,12 @@
         request: u64,
     ) -> Option<KeptAnswer> {
         let of = of.clone();
-        self.ask(|sender| ControlRequest::Answer(of, incarnation, request, sender)).await.flatten()
+        self.call(|sender| ControlRequest::Answer(of, incarnation, request, sender)).await.flatten()
     }
 
-    /// Tells the control thread that this instance shuts down.
+    /// Prepares the shutdown of this instance: waits until leadership is transferred and the last
+    /// reports are sent.
     pub async fn stop(&self) {
-        self.ask(ControlRequest::Stop).await;
+        self.call(ControlRequest::Stop).await;
     }
 }
--- a/crates/peer/src/count.rs
+++ b/crates/peer/src/count.rs
@@ -1,4 +1,4 @@
-//! Counts the bytes that connections between instances send.
+//! Counts the bytes sent on connections between instances.
 
 use smol::io::AsyncWrite;
 use smol::net::TcpStream;
@@ -6,10 +6,10 @@
 use std::pin::Pin;
 use std::task::{Context, Poll};
 
-/// The sending end of a connection.
-pub(crate) struct Counted(pub(crate) TcpStream);
+/// The write half of a connection, which counts the bytes written.
+pub(crate) struct CountingWriter(pub(crate) TcpStream);
 
-impl AsyncWrite for Counted {
+impl AsyncWrite for CountingWriter {
     fn poll_write(
         mut self: Pin<&mut Self>,
         context: &mut Context<'_>,
--- a/crates/peer/src/lib.rs
+++ b/crates/peer/src/lib.rs
@@ -13,6 +13,7 @@
 mod auth;
 pub mod control;
 mod count;
+mod count_guard;
 pub mod entry;
 mod feeds;
 mod link;
@@ -20,12 +21,12 @@
 mod rollouts;
 mod server;
 mod settings;
-mod tally;
 mod views;
 mod watch;
 
 pub use control::{
-    AnswerSource, Census, Control, ControlRequest, OrderSink, SeenEndpoint, SeenInstance, Statement,
+    AnswerSource, ClusterStatus, CommittedState, Control, ControlRequest, EndpointStatus,
+    InstanceStatus, OrderSink,
 };
 pub use lycheehub_wire::{Answer, KeptAnswer, ProposeReply};
 pub use node::{Node, Outside};
--- a/crates/peer/src/node/census.rs
+++ b/crates/peer/src/node/census.rs
@@ -1,7 +1,7 @@
 //! What this instance knows of endpoints and instances, for operators.
 
 use super::{Core, Node};
-use crate::control::{Census, SeenEndpoint, SeenInstance};
+use crate::control::{ClusterStatus, EndpointStatus, InstanceStatus};
 use lycheehub_types::InstanceName;
 use std::collections::BTreeMap;
 
@@ -34,8 +34,8 @@
         }
     }
 
-    fn seen(&self, now_ms: u64) -> impl Iterator<Item = SeenInstance> {
-        self.by_instance.iter().map(move |(instance, poll)| SeenInstance {
+    fn seen(&self, now_ms: u64) -> impl Iterator<Item = InstanceStatus> {
+        self.by_instance.iter().map(move |(instance, poll)| InstanceStatus {
             instance: instance.clone(),
             holds_replica: false,
             revision_in_force: poll.revision,
@@ -51,17 +51,17 @@
     }
 
     /// Returns what is known here.
-    pub(super) fn census(&self) -> Census {
+    pub(super) fn census(&self) -> ClusterStatus {
         let now_ms = self.clock.now_ms();
         let core = self.core.borrow();
         let own = &self.settings.instance;
-        let endpoints = core.directory.live().map(|record| SeenEndpoint {
+        let endpoints = core.directory.live().map(|record| EndpointStatus {
             record: record.clone(),
             heard_by: core.directory.lease_monitor(&record.endpoint).unwrap_or(own).clone(),
         });
         let polls = self.polls.borrow();
         let instances = replicas(&core, now_ms).chain(polls.seen(now_ms));
-        Census {
+        ClusterStatus {
             revision: core.state.revision,
             endpoints: endpoints.collect(),
             instances: instances.collect(),
@@ -69,9 +69,9 @@
     }
 }
 
-fn replicas(core: &Core, now_ms: u64) -> impl Iterator<Item = SeenInstance> {
+fn replicas(core: &Core, now_ms: u64) -> impl Iterator<Item = InstanceStatus> {
     let replicas = core.registry.instances().filter(|known| known.record.replica_id != 0);
-    replicas.map(move |known| SeenInstance {
+    replicas.map(move |known| InstanceStatus {
         instance: known.record.instance.clone(),
         holds_replica: true,
         revision_in_force: known.record.revision_in_force,
--- a/crates/peer/src/node/directory.rs
+++ b/crates/peer/src/node/directory.rs
@@ -1,7 +1,7 @@
 //! The directory of endpoints: announcements heard here, and what other replicas pass on.
 
 use super::{Core, Node};
-use crate::tally::Tally;
+use crate::count_guard::CountGuard;
 use crate::watch::{self, HeardFrom, News, REVISION_BY_LOG, Watcher};
 use lycheehub_control::directory::batching::{self, Backlog};
 use lycheehub_control::directory::{Changes, Heard, LEASE_MS, Listing};
@@ -127,7 +127,7 @@
     /// What others told this instance is no news to wait for: they most likely tell it themselves.
     /// What they have not told by the next question is passed on with its answer.
     pub(crate) async fn watched(&self, told: &Told, wait_ms: u64) -> Watched {
-        let _watching = Tally::new(&self.watchers);
+        let _watching = CountGuard::new(&self.watchers);
         let relays = self.relays(told);
         if relays.listings.is_empty() {
             self.gather_news(told, wait_ms).await;
--- a/crates/peer/src/node/follow.rs
+++ b/crates/peer/src/node/follow.rs
@@ -64,7 +64,7 @@
             .filter(|known| known.record.replica_id != 0)
             .map(|known| known.record.instance.clone())
             .collect();
-        for founder in self.settings.founders() {
+        for founder in self.settings.bootstrap_replicas() {
             if !found.contains(&founder) {
                 found.push(founder);
             }
--- a/crates/peer/src/node/founding.rs
+++ b/crates/peer/src/node/founding.rs
@@ -14,7 +14,7 @@
 impl Node {
     /// Asks the seeds until this replica has a configuration or a leader sends it the log.
     pub(super) async fn found(self: Rc<Self>) {
-        let founders = self.settings.founders();
+        let founders = self.settings.bootstrap_replicas();
         while !self.is_founded() {
             let answers = self.ask_founders(&founders).await;
             let own = self.replica_status().id;
--- a/crates/peer/src/node/mod.rs
+++ b/crates/peer/src/node/mod.rs
@@ -230,7 +230,7 @@
         self.every(GOSSIP_MS, Self::beat);
         self.every(PUBLISH_MS, |node| node.publish());
         self.every(MEMBERSHIP_MS, Self::look_after_membership);
-        if self.settings.balances {
+        if self.settings.runs_controllers {
             self.every(report::REPORT_MS, Self::report);
             self.every(CONTROLLER_MS, Self::run_controllers);
         } else {
--- a/crates/peer/src/node/requests.rs
+++ b/crates/peer/src/node/requests.rs
@@ -2,7 +2,7 @@
 
 use super::Node;
 use super::calls::CALL_TIMEOUT_MS;
-use crate::control::{ControlRequest, Statement};
+use crate::control::{CommittedState, ControlRequest};
 use lycheehub_route::Demands;
 use lycheehub_types::{EndpointRecord, InstanceName};
 use lycheehub_wire::KeptAnswer;
@@ -13,8 +13,8 @@
     pub(super) fn take_request(self: &Rc<Self>, request: ControlRequest) {
         match request {
             ControlRequest::Announce(record) => self.take_announcement(record),
-            ControlRequest::Hear(record) => self.hear(record),
-            ControlRequest::Census(sender) => {
+            ControlRequest::AnnounceToDirectory(record) => self.hear(record),
+            ControlRequest::ClusterStatus(sender) => {
                 // One that no longer waits is told nothing.
                 let _ = sender.try_send(self.census());
             }
@@ -94,9 +94,9 @@
         }
     }
 
-    async fn statement(self: Rc<Self>) -> Option<Statement> {
+    async fn statement(self: Rc<Self>) -> Option<CommittedState> {
         let feed = self.read_feed(0).await?;
-        let statement = Statement {
+        let statement = CommittedState {
             revision: feed.revision,
             sections: feed.sections.clone(),
             moves: feed.moves.clone(),
--- a/crates/peer/src/server.rs
+++ b/crates/peer/src/server.rs
@@ -1,7 +1,7 @@
-//! The answering end of connections between instances.
+//! The server side of connections between instances.
 
-use crate::auth::{self, End};
-use crate::count::Counted;
+use crate::auth::{self, Role};
+use crate::count::CountingWriter;
 use crate::link::MESSAGE_MAX_WORDS;
 use crate::node::{Node, SessionKey, Told};
 use crate::watch::REVISION_BY_LOG;
@@ -18,13 +18,13 @@
 use smol::net::{TcpListener, TcpStream};
 use std::rc::Rc;
 
-/// Takes connections until the node is dropped.
+/// Accepts peer connections as long as the task runs.
 pub(crate) async fn accept(node: Rc<Node>, listener: TcpListener) {
     loop {
         match listener.accept().await {
             Ok((stream, _)) => serve(&node, stream),
             Err(error) => {
-                spdlog::warn!("peer connection not accepted", kv: { error: });
+                spdlog::warn!("failed to accept a peer connection", kv: { error: });
                 smol::Timer::after(std::time::Duration::from_millis(100)).await;
             }
         }
@@ -37,23 +37,24 @@
     }
     let mut options = ReaderOptions::new();
     options.traversal_limit_in_words(Some(MESSAGE_MAX_WORDS));
-    let network = VatNetwork::new(stream.clone(), Counted(stream), Side::Server, options);
+    let network = VatNetwork::new(stream.clone(), CountingWriter(stream), Side::Server, options);
     let greeter = Greeter { node: node.clone(), nonce: auth::nonce() };
     let client: greeter::Client = new_client(greeter);
     let system = RpcSystem::new(Box::new(network), Some(client.client));
     let connection = async move {
-        // The peer sees the end of the connection in its own calls.
+        // When the connection ends, the calls of the peer fail with the error.
         let _ = system.await;
     };
     node.executor().spawn(connection).detach();
 }
 
+/// Authenticates a peer on a new connection.
 struct Greeter {
     node: Rc<Node>,
     nonce: Vec<u8>,
 }
 
-fn text<'a>(reader: capnp::Result<capnp::text::Reader<'a>>) -> Result<&'a str, capnp::Error> {
+fn read_text<'a>(reader: capnp::Result<capnp::text::Reader<'a>>) -> Result<&'a str, capnp::Error> {
     Ok(reader?.to_str().map_err(WireError::from)?)
 }
 
@@ -73,15 +74,15 @@
         mut results: greeter::LoginResults,
     ) -> Result<(), capnp::Error> {
         let params = params.get()?;
-        let name = text(params.get_instance())?;
-        let theirs = params.get_nonce()?;
+        let name = read_text(params.get_instance())?;
+        let initiator_nonce = params.get_nonce()?;
         let key = &self.node.settings().peer_key;
-        let expected = auth::prove(key, End::Caller, &self.nonce, theirs, name);
+        let expected = auth::prove(key, Role::Initiator, &self.nonce, initiator_nonce, name);
         if !auth::matches(&expected, params.get_proof()?) {
             spdlog::warn!("peer refused: wrong key", kv: { name });
             return Err(capnp::Error::failed("the key is wrong".to_owned()));
         }
-        let proof = auth::prove(key, End::Answerer, &self.nonce, theirs, name);
+        let proof = auth::prove(key, Role::Responder, &self.nonce, initiator_nonce, name);
         results.get().set_proof(&proof);
         let peer = PeerServer { node: self.node.clone() };
         results.get().set_peer(new_client(peer));
@@ -89,6 +90,7 @@
     }
 }
 
+/// Serves the calls of an authenticated peer.
 struct PeerServer {
     node: Rc<Node>,
 }
@@ -123,10 +125,10 @@
         mut results: peer::GossipResults,
     ) -> Result<(), capnp::Error> {
         let params = params.get()?;
-        let sender = InstanceName::from(text(params.get_sender())?);
+        let sender = InstanceName::from(read_text(params.get_sender())?);
         let delta = Delta::try_from(params.get_delta()?)?;
-        let answer = self.node.on_gossip(sender, params.get_started(), delta);
-        lycheehub_wire::write_delta(&answer, results.get().init_delta());
+        let reply = self.node.on_gossip(sender, params.get_started(), delta);
+        lycheehub_wire::write_delta(&reply, results.get().init_delta());
         Ok(())
     }
 
@@ -182,7 +184,7 @@
         mut results: peer::AnswerResults,
     ) -> Result<(), capnp::Error> {
         let params = params.get()?;
-        let instance = InstanceName::from(text(params.get_instance())?);
+        let instance = InstanceName::from(read_text(params.get_instance())?);
         let answer =
             self.node.kept_answer(&instance, params.get_incarnation(), params.get_request());
         lycheehub_wire::write_kept_answer(&answer, results.get().init_answer());
@@ -195,7 +197,7 @@
         mut results: peer::WatchResults,
     ) -> Result<(), capnp::Error> {
         let params = params.get()?;
-        let leader = text(params.get_leader())?;
+        let leader = read_text(params.get_leader())?;
         let told = Told {
             here: Heard { epoch: params.get_epoch(), change: params.get_change() },
             relayed: params.get_relayed(),
@@ -204,7 +206,7 @@
             leader: (!leader.is_empty()).then(|| InstanceName::new(leader)),
         };
         if told.revision != REVISION_BY_LOG {
-            let sender = InstanceName::from(text(params.get_sender())?);
+            let sender = InstanceName::from(read_text(params.get_sender())?);
             self.node.note_poll(&sender, told.revision);
         }
         let watched = self.node.watched(&told, u64::from(params.get_wait_ms())).await;
@@ -219,8 +221,8 @@
         let count = watched.relays.len() as u32;
         lycheehub_wire::write_listings(&watched.relays, reply.reborrow().init_relays(count));
         let mut replicas = reply.init_replicas(watched.replicas.len() as u32);
-        for (place, (instance, address)) in (0..).zip(&watched.replicas) {
-            let mut entry = replicas.reborrow().get(place);
+        for (index, (instance, address)) in (0..).zip(&watched.replicas) {
+            let mut entry = replicas.reborrow().get(index);
             entry.set_instance(instance.as_str());
             entry.set_address(&**address);
         }
@@ -233,7 +235,7 @@
         mut results: peer::EnterResults,
     ) -> Result<(), capnp::Error> {
         let params = params.get()?;
-        let instance = InstanceName::from(text(params.get_instance())?);
+        let instance = InstanceName::from(read_text(params.get_instance())?);
         let in_flight = lycheehub_wire::read_in_flight(params.get_in_flight()?)?;
         let usage = lycheehub_wire::read_usage(params.get_usage()?)?;
         let Some(session) = self.node.enter(instance, &in_flight, &usage) else {
@@ -245,7 +247,7 @@
     }
 }
 
-/// What an instance asks of the dispatcher here; dropped with the instance's connection.
+/// Serves the placement calls of one instance; dropped when the connection of the instance ends.
 struct PlacementServer {
     node: Rc<Node>,
     session: SessionKey,
@@ -281,9 +283,9 @@
         results.get().set_instances(instances);
         if is_heartbeat {
             let accounts = self.node.tight_accounts();
-            let mut tight = results.get().init_tight(accounts.len() as u32);
-            for (place, account) in (0..).zip(&accounts) {
-                tight.set(place, account.as_str());
+            let mut near_quota = results.get().init_tight(accounts.len() as u32);
+            for (index, account) in (0..).zip(&accounts) {
+                near_quota.set(index, account.as_str());
             }
         }
         Ok(())
@@ -316,7 +318,7 @@
         _: placement::HeedResults,
     ) -> Result<(), capnp::Error> {
         let params = params.get()?;
-        let endpoint = EndpointName::from(text(params.get_endpoint())?);
+        let endpoint = EndpointName::from(read_text(params.get_endpoint())?);
         let (notice, incarnation) = lycheehub_wire::read_notice(params);
         let instance = self.session.instance;
         self.node.with_dispatcher(self.session, |dispatcher, now_ms| {
--- a/crates/peer/src/settings.rs
+++ b/crates/peer/src/settings.rs
@@ -1,17 +1,17 @@
-//! What the control thread needs of the daemon's settings.
+//! The settings of the control thread.
 
 use lycheehub_types::{FailureDomain, InstanceName};
 use smol_str::SmolStr;
 use std::path::PathBuf;
 
-/// An instance that is known from the start.
+/// An instance whose address is configured.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Seed {
     /// The instance's name.
     pub instance: InstanceName,
-    /// Where it listens for peers, as `address:port`.
+    /// Its peer address, as `address:port`.
     pub address: SmolStr,
-    /// Whether it holds one of the first control replicas.
+    /// Whether it holds a control replica from the bootstrap on.
     pub replica: bool,
 }
 
@@ -20,34 +20,34 @@
 pub struct Settings {
     /// This instance's name.
     pub instance: InstanceName,
-    /// Where it runs.
+    /// The failure domain in which this instance runs.
     pub failure_domain: FailureDomain,
-    /// Where it listens for peers, as `address:port`.
+    /// The address on which it listens for peers, as `address:port`.
     pub peer_address: SmolStr,
-    /// Where it listens for HTTP, as `address:port`.
+    /// The address on which it listens for HTTP, as `address:port`.
     pub http_address: SmolStr,
-    /// Instances known from the start.
+    /// The configured instances.
     pub seeds: Vec<Seed>,
-    /// Where the control replica keeps its files; no replica without it.
+    /// The data directory of the control replica; `None` if this instance holds no replica.
     pub data_folder: Option<PathBuf>,
-    /// The key that all instances share.
+    /// The secret key that all instances share.
     pub peer_key: Vec<u8>,
-    /// Whether this may be the very first start of all instances.
+    /// Whether this instance may bootstrap a new consensus group with the other seeds.
     pub may_found: bool,
-    /// On how many replicas' disks a change must be before it is acknowledged.
+    /// The minimum number of replicas that must have a change on disk before it is acknowledged.
     pub copies_min: usize,
-    /// Whether slots are granted and version moves are stepped by this instance when it leads.
-    pub balances: bool,
-    /// Times and sizes of the control replica.
+    /// Whether this instance, when it leads, grants slots and advances version moves.
+    pub runs_controllers: bool,
+    /// The timeouts and limits of the control replica.
     pub consensus: lycheehub_consensus::Options,
-    /// How requests are placed by this instance when it leads.
+    /// The options of this instance's dispatcher.
     pub dispatch: lycheehub_dispatch::Options,
 }
 
 impl Settings {
-    /// Returns the names of the first control replicas.
-    pub fn founders(&self) -> Vec<InstanceName> {
-        let founders = self.seeds.iter().filter(|seed| seed.replica);
-        founders.map(|seed| seed.instance.clone()).collect()
+    /// Returns the names of the replicas that form the initial configuration.
+    pub fn bootstrap_replicas(&self) -> Vec<InstanceName> {
+        let replicas = self.seeds.iter().filter(|seed| seed.replica);
+        replicas.map(|seed| seed.instance.clone()).collect()
     }
 }
