--- a/crates/peer/src/entry/placement.rs
+++ b/crates/peer/src/entry/placement.rs
@@ -70,6 +70,7 @@
     links: Links,
     views: Arc<Latest<EntryView>>,
     session: RefCell<Option<Rc<Session>>>,
+    /// The local dispatcher, which places requests while no leader answers.
     local: RefCell<Dispatcher>,
     /// The requests that wait for a decision of the local dispatcher, by number.
     pending_decisions: RefCell<BTreeMap<u64, Sender<Decision>>>,
@@ -159,12 +160,12 @@
         let peer = self.links.peer(name, address).await?;
         let in_flight: Vec<InFlight> = self.placed.borrow().values().cloned().collect();
         let usage = self.local.borrow().usage(self.clock.now_ms(), OWN_NUMBER);
-        let entered = async {
+        let call = async {
             let client =
                 request_placement(peer, self.settings.instance.as_str(), &in_flight, &usage).await;
             client.map_err(|error| PeerError::failed(STEP, name.as_str(), error))
         };
-        let client = within(STEP, name, REPLY_TIMEOUT_MS, entered).await;
+        let client = within(STEP, name, REPLY_TIMEOUT_MS, call).await;
         if client.is_err() {
             self.links.drop_peer(name);
         }
@@ -208,7 +209,7 @@
     /// Sends a heartbeat to the leader. Returns the number of instances that the leader serves and the
     /// client accounts that are near their quota, or `None` if the leader does not answer.
     async fn probe_leader(&self, session: &Session) -> Option<(u32, BTreeSet<AccountName>)> {
-        let asked = async {
+        let call = async {
             let mut request = session.client.finish_request();
             request.get().init_finished(0);
             let reply = request.send().promise.await?;
@@ -219,7 +220,7 @@
             }
             Ok::<_, capnp::Error>((reply.get_instances(), near_quota))
         };
-        within_running_time(REPLY_TIMEOUT_MS, asked).await?.ok()
+        within_running_time(REPLY_TIMEOUT_MS, call).await?.ok()
     }
 
     fn update_instances(&self, instances: u32) {
@@ -231,7 +232,7 @@
 
     /// Requests a decision from the leader. Returns `None` if the session ends first.
     async fn place_at_leader(&self, session: &Session, job: &Job) -> Option<Decision> {
-        let asked = async {
+        let call = async {
             let mut request = session.client.place_request();
             write_job(job, request.get().init_job());
             let reply = request.send().promise.await?;
@@ -249,7 +250,7 @@
             smol::future::pending().await
         };
         let session_lost = smol::future::or(ended, slow_decision);
-        smol::future::or(async { asked.await.ok() }, session_lost).await
+        smol::future::or(async { call.await.ok() }, session_lost).await
     }
 
     /// Requests a decision from the local dispatcher. Returns `None` if the request is withdrawn first,
