--- a/crates/cli/src/roles/control.rs
+++ b/crates/cli/src/roles/control.rs
@@ -7,7 +7,7 @@
 use lycheehub_clock::{Clock, TimerService};
 use lycheehub_gateway::answers::KeptAnswers;
 use lycheehub_gateway::orders::OrderSender;
-use lycheehub_peer::{Control, ControlRequest, Node, Outside, Views};
+use lycheehub_peer::{Control, ControlRequest, Dependencies, Node, Views};
 use lycheehub_platform::calls;
 use lycheehub_platform::settings::Deployment;
 use rand::RngCore;
@@ -60,7 +60,7 @@
     let run = move || {
         let clock = Clock::new();
         let timers = Arc::new(TimerService::new(clock));
-        let outside = Outside {
+        let outside = Dependencies {
             answers: Arc::new(KeptAnswers::new(clock, 0, 0)),
             orders: Arc::new(OrderSender::new(clock, Arc::new(Executor::new()))),
         };
--- a/crates/cli/src/serve/wire_up.rs
+++ b/crates/cli/src/serve/wire_up.rs
@@ -8,7 +8,9 @@
 use lycheehub_gateway::orders::OrderSender;
 use lycheehub_gateway::serve::Pool;
 use lycheehub_gateway::{Gateway, http};
-use lycheehub_peer::{Control, ControlRequest, Node, Outside, Settings as PeerSettings, Views};
+use lycheehub_peer::{
+    Control, ControlRequest, Dependencies, Node, Settings as PeerSettings, Views,
+};
 use lycheehub_route::Scheduler;
 use metrics_exporter_prometheus::{PrometheusBuilder, PrometheusHandle};
 use rand::RngCore;
@@ -24,7 +26,7 @@
     clock: Clock,
     timers: Arc<TimerService>,
     views: Views,
-    outside: Outside,
+    outside: Dependencies,
     listener: TcpListener,
     requests: Receiver<ControlRequest>,
 }
@@ -48,7 +50,7 @@
         clock,
         timers: timers.clone(),
         views: views.clone(),
-        outside: Outside {
+        outside: Dependencies {
             answers: answers.clone(),
             orders: Arc::new(OrderSender::new(clock, executor.clone())),
         },
--- a/crates/peer/src/entry/mod.rs
+++ b/crates/peer/src/entry/mod.rs
@@ -15,7 +15,7 @@
 use crate::link::Links;
 use crate::settings::Settings;
 use crate::views::Latest;
-use crate::watch::{self, HeardFrom, News, Watcher};
+use crate::watch::{self, ReplicaPositions, WatchUpdate, Watcher};
 use lycheehub_clock::{Clock, Timers};
 use lycheehub_control::State;
 use lycheehub_control::directory::Directory;
@@ -53,7 +53,7 @@
     links: Links,
     views: Arc<Latest<EntryView>>,
     known: RefCell<Known>,
-    heard_from: HeardFrom,
+    heard_from: ReplicaPositions,
 }
 
 /// What the control thread has learned.
@@ -118,7 +118,7 @@
         known.take_seeds(&settings.seeds);
         let links = Links::new(settings, clock, executor.clone());
         let known = RefCell::new(known);
-        let heard_from = HeardFrom::default();
+        let heard_from = ReplicaPositions::default();
         Rc::new(Self { clock, timers, executor, links, views, known, heard_from })
     }
 
@@ -298,7 +298,7 @@
 struct Watching(Rc<EntryNode>);
 
 impl Watcher for Watching {
-    fn heard_from(&self) -> &HeardFrom {
+    fn replica_positions(&self) -> &ReplicaPositions {
         &self.0.heard_from
     }
 
@@ -310,7 +310,7 @@
         self.0.known.borrow().addresses.get(peer).cloned()
     }
 
-    fn take(&self, from: &InstanceName, news: News) {
+    fn apply_update(&self, from: &InstanceName, news: WatchUpdate) {
         let node = &self.0;
         let now_ms = node.clock.now_ms();
         let (changed, fetches, new_replicas) = {
@@ -344,7 +344,7 @@
         }
     }
 
-    fn silent(&self, peer: &InstanceName) {
+    fn mark_unreachable(&self, peer: &InstanceName) {
         let mut known = self.0.known.borrow_mut();
         known.heard.remove(peer);
         known.directory.mark_unreachable(self.0.clock.now_ms(), peer);
--- a/crates/peer/src/entry/placement.rs
+++ b/crates/peer/src/entry/placement.rs
@@ -7,7 +7,7 @@
 
 use super::{EntryView, PauseGuard};
 use crate::link::{Links, within};
-use crate::rollouts::{Sight, version_rules};
+use crate::rollouts::{TrafficScope, version_rules};
 use crate::settings::Settings;
 use crate::views::Latest;
 use capnp::capability::{FromTypelessPipeline, Request};
@@ -125,7 +125,7 @@
             if document_changed {
                 local.set_document(now_ms, view.table.document());
             }
-            local.set_version_rules(version_rules(&view.rollouts, Sight::Part));
+            local.set_version_rules(version_rules(&view.rollouts, TrafficScope::OneInstance));
             local.set_endpoints(now_ms, view.endpoints.iter());
         }
         self.deliver_local();
--- a/crates/peer/src/feeds.rs
+++ b/crates/peer/src/feeds.rs
@@ -1,9 +1,9 @@
-//! Asks a peer for changes of the state.
+//! Requests state changes from a peer.
 
 use lycheehub_control::state::Feed;
 use lycheehub_wire::peer_capnp::peer;
 
-/// Asks for what changed after `revision` once anything did, or after `wait_ms`.
+/// Requests the changes after `revision` by a long poll of at most `wait_ms`.
 pub(crate) async fn follow(
     peer: peer::Client,
     revision: u64,
@@ -16,7 +16,8 @@
     decode(reply.get()?.get_feed()?)
 }
 
-/// Asks for what changed after `revision`, as a quorum confirms it; nothing where none does.
+/// Requests the changes after `revision` as confirmed by a quorum; returns `None` if no quorum
+/// confirms them.
 pub(crate) async fn read(peer: peer::Client, revision: u64) -> Result<Option<Feed>, capnp::Error> {
     let mut request = peer.read_request();
     request.get().set_revision(revision);
--- a/crates/peer/src/lib.rs
+++ b/crates/peer/src/lib.rs
@@ -1,11 +1,11 @@
 //! Peer connections and the control thread.
 //!
-//! * [`control`] is the handle by which traffic threads reach the control thread.
+//! * [`control`] is the handle through which traffic threads send requests to the control thread.
 //! * [`node`] is the control thread: one [`Node`] runs on a local executor and owns the registry,
-//!   the replica or the learned state, and the controllers.
-//! * [`entry`] is the control thread of an instance that only takes requests, and its way to the
-//!   dispatcher at the leader.
-//! * [`watch`] follows the directory of a replica.
+//!   the replica or a state copied from one, and the controllers.
+//! * [`entry`] is the control thread of an instance without a replica that only accepts requests,
+//!   and its client for the dispatcher at the leader.
+//! * [`watch`] watches the directory and the revision of a replica.
 //! * [`link`] and [`server`] are the two ends of a connection between instances.
 #![deny(missing_docs, rust_2018_idioms)]
 #![forbid(unsafe_code)]
@@ -28,6 +28,6 @@
     AnswerSource, Census, Control, ControlRequest, OrderSink, SeenEndpoint, SeenInstance, Statement,
 };
 pub use lycheehub_wire::{Answer, KeptAnswer, ProposeReply};
-pub use node::{Node, Outside};
+pub use node::{Dependencies, Node};
 pub use settings::{Seed, Settings};
 pub use views::{Latest, Views};
--- a/crates/peer/src/node/calls.rs
+++ b/crates/peer/src/node/calls.rs
@@ -9,11 +9,12 @@
 use std::future::Future;
 use std::rc::Rc;
 
-/// How long a peer may take to answer an ordinary call, in milliseconds.
+/// Timeout of an ordinary call to a peer, in milliseconds.
 pub(super) const CALL_TIMEOUT_MS: u64 = 1_500;
 
 impl Core {
-    /// Returns where an instance listens for peers; the settings go before what it announces.
+    /// Returns the peer address of an instance. The address in the settings takes precedence over
+    /// the announced one.
     pub(super) fn address_of(&self, node: &Node, name: &InstanceName) -> Option<SmolStr> {
         let seed = node.settings.seeds.iter().find(|seed| seed.instance == *name);
         if let Some(seed) = seed {
@@ -34,7 +35,7 @@
 }
 
 impl Node {
-    /// Makes a call to an instance.
+    /// Calls a peer with a timeout.
     pub(super) async fn call<T, F>(
         &self,
         step: &'static str,
@@ -49,7 +50,8 @@
         self.links.call(step, to, address, timeout_ms, call).await
     }
 
-    /// Sends a message to another replica; a lost one is made up for by later ones.
+    /// Sends a message to another replica. A lost message is not retried, because later messages
+    /// replace it.
     pub(super) fn send_consensus(
         self: &Rc<Self>,
         core: &Core,
@@ -74,8 +76,8 @@
         self.executor.spawn(task).detach();
     }
 
-    /// Asks an instance for the state of its replica.
-    pub(super) async fn ask_status(&self, of: &InstanceName) -> Result<Status, PeerError> {
+    /// Requests the status of an instance's replica.
+    pub(super) async fn request_status(&self, of: &InstanceName) -> Result<Status, PeerError> {
         let call = |peer: peer::Client| async move {
             let reply = peer.status_request().send().promise.await?;
             let reply = reply.get()?;
@@ -85,7 +87,7 @@
         self.call("status", of, CALL_TIMEOUT_MS, call).await
     }
 
-    /// Returns the state of this instance's replica; its identity is 0 where it has none.
+    /// Returns the status of the local replica; its ID is 0 if this instance has no replica.
     pub(crate) fn replica_status(&self) -> Status {
         let core = self.core.borrow();
         let Some(replica) = core.replica() else {
--- a/crates/peer/src/node/census.rs
+++ b/crates/peer/src/node/census.rs
@@ -1,56 +1,56 @@
-//! What this instance knows of endpoints and instances, for operators.
+//! Lists the endpoints and instances known to this instance, for operators.
 
 use super::{Core, Node};
 use crate::control::{Census, SeenEndpoint, SeenInstance};
 use lycheehub_types::InstanceName;
 use std::collections::BTreeMap;
 
-/// How long an instance that watched is remembered after its last question, in milliseconds: as
-/// long as an operator may look for one that has just gone.
-const REMEMBER_MS: u64 = 60_000;
-/// After how long without a question an instance counts as silent, in milliseconds: two questions,
-/// which take a second at most, and some delay.
-const SILENT_MS: u64 = 3_000;
+/// How long a watching instance is listed after its last poll, in milliseconds: as long as an
+/// operator may look for an instance that has just gone.
+const POLL_RETENTION_MS: u64 = 60_000;
+/// Time without a poll after which an instance is no longer live, in milliseconds: two polls, which
+/// take at most a second each, plus some delay.
+const POLL_TIMEOUT_MS: u64 = 3_000;
 
-/// The last question of an instance that watches here.
+/// The last poll of an instance that watches this one.
 #[derive(Clone, Copy, Debug)]
 struct Poll {
     revision: u64,
-    asked_ms: u64,
+    polled_ms: u64,
 }
 
-/// The last questions of instances that watch here and hold no replica.
+/// The last polls of the instances that watch this one and hold no replica.
 #[derive(Debug, Default)]
 pub(super) struct Polls {
     by_instance: BTreeMap<InstanceName, Poll>,
 }
 
 impl Polls {
-    /// Notes that an instance asked, and the revision that it has.
-    pub(super) fn note(&mut self, now_ms: u64, instance: &InstanceName, revision: u64) {
-        let poll = Poll { revision, asked_ms: now_ms };
+    /// Records a poll of an instance and the revision that it has.
+    pub(super) fn record(&mut self, now_ms: u64, instance: &InstanceName, revision: u64) {
+        let poll = Poll { revision, polled_ms: now_ms };
         if self.by_instance.insert(instance.clone(), poll).is_none() {
-            self.by_instance.retain(|_, poll| now_ms < poll.asked_ms + REMEMBER_MS);
+            self.by_instance.retain(|_, poll| now_ms < poll.polled_ms + POLL_RETENTION_MS);
         }
     }
 
-    fn seen(&self, now_ms: u64) -> impl Iterator<Item = SeenInstance> {
+    fn instances(&self, now_ms: u64) -> impl Iterator<Item = SeenInstance> {
         self.by_instance.iter().map(move |(instance, poll)| SeenInstance {
             instance: instance.clone(),
             holds_replica: false,
             revision_in_force: poll.revision,
-            is_live: now_ms < poll.asked_ms + SILENT_MS,
+            is_live: now_ms < poll.polled_ms + POLL_TIMEOUT_MS,
         })
     }
 }
 
 impl Node {
-    /// Notes that an instance without a replica asked, and the revision that it has.
-    pub(crate) fn note_poll(&self, instance: &InstanceName, revision: u64) {
-        self.polls.borrow_mut().note(self.clock.now_ms(), instance, revision);
+    /// Records a poll of an instance without a replica and the revision that it has.
+    pub(crate) fn record_poll(&self, instance: &InstanceName, revision: u64) {
+        self.polls.borrow_mut().record(self.clock.now_ms(), instance, revision);
     }
 
-    /// Returns what is known here.
+    /// Returns the endpoints and instances known here.
     pub(super) fn census(&self) -> Census {
         let now_ms = self.clock.now_ms();
         let core = self.core.borrow();
@@ -60,7 +60,7 @@
             heard_by: core.directory.lease_monitor(&record.endpoint).unwrap_or(own).clone(),
         });
         let polls = self.polls.borrow();
-        let instances = replicas(&core, now_ms).chain(polls.seen(now_ms));
+        let instances = replicas(&core, now_ms).chain(polls.instances(now_ms));
         Census {
             revision: core.state.revision,
             endpoints: endpoints.collect(),
--- a/crates/peer/src/node/directory.rs
+++ b/crates/peer/src/node/directory.rs
@@ -1,8 +1,8 @@
-//! The directory of endpoints: announcements heard here, and what other replicas pass on.
+//! The directory of endpoints: local announcements and changes relayed by other replicas.
 
 use super::{Core, Node};
 use crate::tally::Tally;
-use crate::watch::{self, HeardFrom, News, REVISION_BY_LOG, Watcher};
+use crate::watch::{self, REVISION_FROM_LOG, ReplicaPositions, WatchUpdate, Watcher};
 use lycheehub_control::directory::batching::{self, Backlog};
 use lycheehub_control::directory::{Changes, Heard, LEASE_MS, Listing};
 use lycheehub_types::{EndpointName, EndpointRecord, InstanceName};
@@ -13,31 +13,33 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// How often leases are looked at, in milliseconds.
-pub(super) const DIRECTORY_MS: u64 = 250;
-/// How long a replica that hears no leader answers those that watch it, in milliseconds: it may not
-/// know what was accepted since.
-const LEADER_SILENT_MS: u64 = 1_500;
+/// Interval between checks for expired leases, in milliseconds.
+pub(super) const DIRECTORY_TICK_MS: u64 = 250;
+/// Time without leader contact after which a replica reports neither a leader nor its revision to
+/// watchers, in milliseconds: it may have missed changes accepted since.
+const LEADER_CONTACT_MS: u64 = 1_500;
 
-/// What one that watches has been told already.
+/// What a watcher already knows.
 #[derive(Clone, Debug)]
-pub(crate) struct Told {
-    /// How far it was told what this instance has heard.
-    pub(crate) here: Heard,
-    /// The number of the last change of which it was told what others told this instance.
+pub(crate) struct WatchPosition {
+    /// Its position in this instance's local changes.
+    pub(crate) local: Heard,
+    /// The number of the last relayed change that this instance has sent to it.
     pub(crate) relayed: u64,
-    /// How far replicas have told it what they heard.
+    /// Its position in each replica's local changes.
     pub(crate) heard: BTreeMap<InstanceName, Heard>,
+    /// The state revision that it has.
     pub(crate) revision: u64,
+    /// The leader that it was last told of.
     pub(crate) leader: Option<InstanceName>,
 }
 
-/// What a replica answers to those that watch it.
-pub(crate) struct Watched {
-    /// How far this tells what the replica has heard.
-    pub(crate) here: Heard,
+/// The reply of a replica to a watcher.
+pub(crate) struct WatchReply {
+    /// The position in the replica's local changes that this reply reaches.
+    pub(crate) local: Heard,
     pub(crate) listings: Vec<Listing>,
-    /// The number of the last change of which this tells what others told the replica.
+    /// The number of the last relayed change that this reply covers.
     pub(crate) relayed: u64,
     pub(crate) relays: Vec<Listing>,
     pub(crate) revision: u64,
@@ -46,8 +48,8 @@
 }
 
 impl Node {
-    /// Takes an announcement that was made here.
-    pub(super) fn hear(self: &Rc<Self>, record: EndpointRecord) {
+    /// Applies an announcement that an endpoint sent to this instance.
+    pub(super) fn announce_endpoint(self: &Rc<Self>, record: EndpointRecord) {
         let now_ms = self.clock.now_ms();
         let (endpoint, leaving) = (record.endpoint.clone(), record.leaving);
         let change = {
@@ -56,14 +58,15 @@
         };
         if let Some(change) = change {
             spdlog::info!("endpoint announced", kv: { endpoint: = endpoint, leaving, change });
-            self.note_directory();
+            self.notify_directory_changed();
         }
     }
 
-    /// Takes the word of an endpoint that it leaves for good; tells whether that takes effect.
+    /// Withdraws an endpoint that leaves permanently; returns whether the withdrawal takes effect.
     ///
-    /// A replica that has just started may not have heard of an endpoint that entry instances still
-    /// send to: it could not tell them that the endpoint leaves.
+    /// A replica that has just started may not know an endpoint that entry instances still send
+    /// requests to, so it cannot tell them about the withdrawal. Within one lease after the start,
+    /// it therefore rejects the withdrawal of an unknown endpoint.
     pub(super) fn withdraw(self: &Rc<Self>, endpoint: &EndpointName) -> bool {
         let now_ms = self.clock.now_ms();
         let (is_known, changed) = {
@@ -72,32 +75,32 @@
         };
         if changed {
             spdlog::info!("endpoint withdrawn", kv: { endpoint: = endpoint });
-            self.note_directory();
+            self.notify_directory_changed();
         }
-        let has_heard_all = now_ms >= self.started_ms + LEASE_MS;
-        if !is_known && !has_heard_all {
+        let has_full_directory = now_ms >= self.started_ms + LEASE_MS;
+        if !is_known && !has_full_directory {
             spdlog::info!("farewell not taken: endpoint not known yet", kv: { endpoint: = endpoint });
         }
-        is_known || has_heard_all
+        is_known || has_full_directory
     }
 
-    fn note_directory(&self) {
-        self.update_placing();
-        self.wake_watchers();
+    fn notify_directory_changed(&self) {
+        self.update_dispatcher();
+        self.wake_waiters();
     }
 
-    /// Ends leases, and watches replicas that are not watched yet.
-    pub(super) fn look_after_directory(self: &Rc<Self>) {
+    /// Expires leases and starts watching newly discovered replicas.
+    pub(super) fn tick_directory(self: &Rc<Self>) {
         let now_ms = self.clock.now_ms();
-        let over = self.core.borrow_mut().directory.expire(now_ms);
-        for endpoint in &over {
+        let expired = self.core.borrow_mut().directory.expire(now_ms);
+        for endpoint in &expired {
             spdlog::warn!("endpoint lost: its lease has ended", kv: { endpoint: = endpoint });
         }
-        if !over.is_empty() {
-            self.note_directory();
+        if !expired.is_empty() {
+            self.notify_directory_changed();
         }
         for replica in self.replica_instances() {
-            if self.watched.borrow_mut().insert(replica.clone()) {
+            if self.watched_replicas.borrow_mut().insert(replica.clone()) {
                 let node = self.clone();
                 let task = async move {
                     watch::watch(node.clone(), &node.links, node.clock, replica).await;
@@ -107,87 +110,93 @@
         }
     }
 
-    /// Tells those that watch where the replica here follows another leader than it did.
-    pub(super) fn look_after_leader(&self) {
+    /// Wakes watchers if the local replica follows a different leader than last announced.
+    pub(super) fn announce_leader_change(&self) {
         let leader = self.recent_leader(&self.core.borrow());
         if leader.is_some() && *self.announced_leader.borrow() != leader {
             *self.announced_leader.borrow_mut() = leader;
-            self.wake_watchers();
+            self.wake_waiters();
         }
     }
 
-    /// Returns the leader that the replica here has heard of late.
+    /// Returns the leader that the local replica follows, if it had recent contact.
     fn recent_leader(&self, core: &Core) -> Option<InstanceName> {
-        let is_recent = core.hears_leader(self.clock.now_ms(), LEADER_SILENT_MS);
-        if is_recent { core.known_leader(&self.settings.instance) } else { None }
+        let is_recent = core.has_leader_contact(self.clock.now_ms(), LEADER_CONTACT_MS);
+        if is_recent { core.followed_leader(&self.settings.instance) } else { None }
     }
 
-    /// Waits until there is news for one that watches, at most `wait_ms`.
+    /// Waits up to `wait_ms` for changes that a watcher does not know, and returns them.
     ///
-    /// What others told this instance is no news to wait for: they most likely tell it themselves.
-    /// What they have not told by the next question is passed on with its answer.
-    pub(crate) async fn watched(&self, told: &Told, wait_ms: u64) -> Watched {
+    /// Changes of other replicas do not end the wait, because those replicas most likely send them
+    /// to the watcher directly. Changes that the watcher still lacks at its next request are
+    /// relayed at once.
+    pub(crate) async fn wait_for_changes(
+        &self,
+        position: &WatchPosition,
+        wait_ms: u64,
+    ) -> WatchReply {
         let _watching = Tally::new(&self.watchers);
-        let relays = self.relays(told);
+        let relays = self.relayed_changes(position);
         if relays.listings.is_empty() {
-            self.gather_news(told, wait_ms).await;
+            self.batch_changes(position, wait_ms).await;
         }
         let core = self.core.borrow();
-        let epoch = core.own.incarnation;
-        let known = if epoch == told.here.epoch { told.here.change } else { 0 };
+        let epoch = core.own_record.incarnation;
+        let known = if epoch == position.local.epoch { position.local.change } else { 0 };
         let own = core.directory.local_changes_after(known, batching::MAX_CHANGES_PER_REPLY);
-        Watched {
-            here: Heard { epoch, change: own.up_to },
+        WatchReply {
+            local: Heard { epoch, change: own.up_to },
             listings: own.listings,
             relayed: relays.up_to,
             relays: relays.listings,
             revision: core.recent_revision(self.clock.now_ms()),
             leader: self.recent_leader(&core),
-            replicas: self.neighbours(&core),
+            replicas: self.live_replicas(&core),
         }
     }
 
-    /// Waits until there is news, and until more has come together.
-    async fn gather_news(&self, told: &Told, wait_ms: u64) {
-        if self.behind(told) == Backlog::Empty {
-            self.wait_for_news(wait_ms).await;
+    /// Waits for a change, then for the batching delay so that one reply covers more changes.
+    async fn batch_changes(&self, position: &WatchPosition, wait_ms: u64) {
+        if self.backlog(position) == Backlog::Empty {
+            self.wait_for_change(wait_ms).await;
         }
-        let gather_ms = batching::batch_delay_ms(self.behind(told), self.watchers.get());
-        if gather_ms > 0 {
-            Timer::after(Duration::from_millis(gather_ms)).await;
+        let delay_ms = batching::batch_delay_ms(self.backlog(position), self.watchers.get());
+        if delay_ms > 0 {
+            Timer::after(Duration::from_millis(delay_ms)).await;
         }
     }
 
-    /// Returns what others told this instance and one that watches has not heard from them.
-    fn relays(&self, told: &Told) -> Changes {
+    /// Returns changes of other replicas that the watcher has not received from them.
+    fn relayed_changes(&self, position: &WatchPosition) -> Changes {
         let core = self.core.borrow();
-        if core.own.incarnation != told.here.epoch {
-            // It has just begun to ask, others as well.
+        if core.own_record.incarnation != position.local.epoch {
+            // The watcher has just started to watch this run of the instance, and it watches the
+            // other replicas as well.
             return Changes::default();
         }
-        let kept_ms = batching::relay_delay_ms(self.watchers.get());
-        let before_ms = self.clock.now_ms().saturating_sub(kept_ms);
+        let relay_delay_ms = batching::relay_delay_ms(self.watchers.get());
+        let before_ms = self.clock.now_ms().saturating_sub(relay_delay_ms);
         core.directory.relayed_changes_after(
-            told.relayed,
+            position.relayed,
             batching::MAX_CHANGES_PER_REPLY,
             before_ms,
-            &told.heard,
+            &position.heard,
         )
     }
 
-    /// Tells what one that watches does not know yet.
-    fn behind(&self, told: &Told) -> Backlog {
+    /// Returns the backlog of changes that the watcher does not know yet.
+    fn backlog(&self, position: &WatchPosition) -> Backlog {
         let core = self.core.borrow();
         let now_ms = self.clock.now_ms();
         let leader = self.recent_leader(&core);
-        let is_other_leader = leader.is_some() && leader != told.leader;
-        let is_first = core.own.incarnation != told.here.epoch;
-        if is_first || is_other_leader || core.recent_revision(now_ms) > told.revision {
+        let is_other_leader = leader.is_some() && leader != position.leader;
+        let is_first = core.own_record.incarnation != position.local.epoch;
+        if is_first || is_other_leader || core.recent_revision(now_ms) > position.revision {
             return Backlog::Immediate;
         }
         match core
             .directory
-            .pending_local_changes(told.here.change, batching::MAX_CHANGES_PER_REPLY)
+            .pending_local_changes(position.local.change, batching::MAX_CHANGES_PER_REPLY)
         {
             Some((count, since_ms)) => {
                 Backlog::Changes { count, oldest_ms: now_ms.saturating_sub(since_ms) }
@@ -196,23 +205,24 @@
         }
     }
 
-    /// Waits until a revision or the directory changes, at most `wait_ms`.
-    pub(super) async fn wait_for_news(&self, wait_ms: u64) {
+    /// Waits up to `wait_ms` for a new revision or a directory change.
+    pub(super) async fn wait_for_change(&self, wait_ms: u64) {
         let (sender, receiver) = bounded(1);
-        self.revised.borrow_mut().push(sender);
+        self.change_waiters.borrow_mut().push(sender);
         let timeout = async {
             Timer::after(Duration::from_millis(wait_ms)).await;
         };
-        let news = async {
-            // A closed channel is as good as the end of the wait.
+        let notification = async {
+            // A closed channel ends the wait as well.
             let _ = receiver.recv().await;
         };
-        smol::future::or(news, timeout).await;
+        smol::future::or(notification, timeout).await;
         drop(receiver);
-        self.revised.borrow_mut().retain(|sender| !sender.is_closed());
+        self.change_waiters.borrow_mut().retain(|sender| !sender.is_closed());
     }
 
-    fn neighbours(&self, core: &Core) -> Vec<(InstanceName, SmolStr)> {
+    /// Returns the live replicas with their peer addresses.
+    fn live_replicas(&self, core: &Core) -> Vec<(InstanceName, SmolStr)> {
         let live = core.registry.live_instances(self.clock.now_ms());
         let replicas = live.filter(|known| known.record.replica_id != 0);
         let entry = |record: &lycheehub_types::InstanceRecord| {
@@ -223,17 +233,18 @@
 }
 
 impl Core {
-    fn hears_leader(&self, now_ms: u64, within_ms: u64) -> bool {
+    fn has_leader_contact(&self, now_ms: u64, within_ms: u64) -> bool {
         self.replica().is_some_and(|replica| replica.has_leader_contact(now_ms, within_ms))
     }
 
-    /// Returns the revision here, or 0 without a leader: others may have accepted more since.
+    /// Returns the local revision, or 0 without recent leader contact, because the other replicas
+    /// may have accepted changes since.
     fn recent_revision(&self, now_ms: u64) -> u64 {
-        if self.hears_leader(now_ms, LEADER_SILENT_MS) { self.state.revision } else { 0 }
+        if self.has_leader_contact(now_ms, LEADER_CONTACT_MS) { self.state.revision } else { 0 }
     }
 
-    /// Returns the leader that the replica here follows.
-    fn known_leader(&self, own: &InstanceName) -> Option<InstanceName> {
+    /// Returns this instance if it leads, else the leader that its replica follows.
+    fn followed_leader(&self, own: &InstanceName) -> Option<InstanceName> {
         if self.is_leader() {
             return Some(own.clone());
         }
@@ -244,36 +255,37 @@
 }
 
 impl Watcher for Node {
-    fn heard_from(&self) -> &HeardFrom {
-        &self.heard_from
+    fn replica_positions(&self) -> &ReplicaPositions {
+        &self.replica_positions
     }
 
     fn revision(&self) -> u64 {
-        REVISION_BY_LOG
+        REVISION_FROM_LOG
     }
 
     fn address_of(&self, peer: &InstanceName) -> Option<SmolStr> {
         self.core.borrow().address_of(self, peer)
     }
 
-    fn take(&self, from: &InstanceName, news: News) {
+    fn apply_update(&self, from: &InstanceName, update: WatchUpdate) {
         let now_ms = self.clock.now_ms();
         let changed = {
             let mut core = self.core.borrow_mut();
-            if news.restarted {
+            if update.restarted {
                 core.directory.mark_restarted(now_ms, from);
             }
             let directory = &mut core.directory;
-            directory.apply_direct(now_ms, from, news.heard, news.listings)
-                | directory.apply_relayed(now_ms, from, news.relays)
+            directory.apply_direct(now_ms, from, update.heard, update.listings)
+                | directory.apply_relayed(now_ms, from, update.relays)
         };
         if changed {
-            // Those that watch this replica are told by the one that heard it, or as they ask again.
-            self.update_placing();
+            // No watcher is woken: watchers get the change from the replica that accepted it, or as
+            // a relayed change with their next request.
+            self.update_dispatcher();
         }
     }
 
-    fn silent(&self, peer: &InstanceName) {
+    fn mark_unreachable(&self, peer: &InstanceName) {
         let now_ms = self.clock.now_ms();
         self.core.borrow_mut().directory.mark_unreachable(now_ms, peer);
     }
--- a/crates/peer/src/node/driver.rs
+++ b/crates/peer/src/node/driver.rs
@@ -1,4 +1,4 @@
-//! Drives the replica: stores what it asks to store, in order, and applies what is committed.
+//! Drives the replica: executes its storage actions in order and applies committed entries.
 
 use super::Node;
 use lycheehub_consensus::storage::{Disk, Error as StorageError, Storage};
@@ -10,33 +10,36 @@
 use std::collections::BTreeMap;
 use std::rc::Rc;
 
-/// How many applied entries bring about a snapshot.
+/// Number of applied entries after which a snapshot is due.
 const SNAPSHOT_ENTRIES: u64 = 2_000;
-/// How many bytes of applied entries bring about a snapshot.
+/// Size of the applied entries after which a snapshot is due, in bytes.
 const SNAPSHOT_BYTES: usize = 4 * 1024 * 1024;
-/// How long after a failure of the storage it is opened anew, in milliseconds.
+/// Delay before failed storage is reopened, in milliseconds.
 const REOPEN_MS: u64 = 1_000;
 
-/// The replica with its storage and those that wait for it.
+/// The replica, its storage and the proposals and reads that wait for it.
 pub(super) struct Driver {
     pub(super) replica: Replica,
     storage: Box<dyn Storage>,
-    waiting: BTreeMap<u64, (u64, Sender<ProposeReply>)>,
-    reads: BTreeMap<u64, Sender<bool>>,
+    /// The term and the reply sender of each stored proposal, by log index.
+    pending_proposals: BTreeMap<u64, (u64, Sender<ProposeReply>)>,
+    pending_reads: BTreeMap<u64, Sender<bool>>,
     next_read: u64,
-    /// The size of the newest snapshot, and of what was applied after it, in bytes.
+    /// The size of the newest snapshot, in bytes.
     snapshot_bytes: usize,
+    /// The size of the commands applied after the newest snapshot, in bytes.
     applied_bytes: usize,
-    /// When the storage failed, in milliseconds: the replica does nothing until it is opened anew.
+    /// When the storage failed, in milliseconds. The replica takes no steps until it is reopened.
     halted_ms: Option<u64>,
 }
 
-/// What the actions of one step lead to outside the replica.
+/// Effects of one step that are handled outside the driver.
 #[derive(Default)]
 struct Effects {
-    sends: Vec<(ReplicaId, Message)>,
-    revised: bool,
-    led: Option<bool>,
+    messages: Vec<(ReplicaId, Message)>,
+    state_changed: bool,
+    /// Whether the replica won (`true`) or lost (`false`) leadership, if either happened.
+    gained_leadership: Option<bool>,
 }
 
 impl Driver {
@@ -59,8 +62,8 @@
         let driver = Self {
             replica,
             storage,
-            waiting: BTreeMap::new(),
-            reads: BTreeMap::new(),
+            pending_proposals: BTreeMap::new(),
+            pending_reads: BTreeMap::new(),
             next_read: 0,
             snapshot_bytes,
             applied_bytes: 0,
@@ -69,13 +72,13 @@
         Ok((driver, state))
     }
 
-    /// Tells whether commands of this instance are stored but not committed yet.
+    /// Returns whether proposals of this instance are stored but not committed yet.
     pub(super) fn is_committing(&self) -> bool {
-        !self.waiting.is_empty()
+        !self.pending_proposals.is_empty()
     }
 
-    /// Makes a snapshot where the log has grown as large as the last one, so that all snapshots
-    /// together cost about as much as the log.
+    /// Takes a snapshot if one is due and the commands applied since the last snapshot are at least
+    /// as large as it. All snapshots together then cost about as much as the log.
     fn compact_if_due(&mut self, state: &State) -> Vec<Action> {
         let entries = self.replica.compactable_entries();
         let is_long = entries >= SNAPSHOT_ENTRIES || self.applied_bytes >= SNAPSHOT_BYTES;
@@ -88,18 +91,18 @@
         self.replica.compact(data)
     }
 
-    /// Notes who waits for the entry at `position`.
-    pub(super) fn wait_for(&mut self, position: Position, sender: Sender<ProposeReply>) {
-        self.waiting.insert(position.index, (position.term, sender));
+    /// Registers the sender that gets the reply for the entry at `position`.
+    pub(super) fn register_proposal(&mut self, position: Position, sender: Sender<ProposeReply>) {
+        self.pending_proposals.insert(position.index, (position.term, sender));
     }
 
     pub(super) fn begin_read(&mut self, sender: Sender<bool>) -> u64 {
         self.next_read += 1;
-        self.reads.insert(self.next_read, sender);
+        self.pending_reads.insert(self.next_read, sender);
         self.next_read
     }
 
-    fn carry_out(
+    fn execute(
         &mut self,
         actions: Vec<Action>,
         state: &mut State,
@@ -112,24 +115,24 @@
                 Action::SaveSnapshot { snapshot, reset } => {
                     self.storage.save_snapshot(&snapshot, reset)?;
                 }
-                Action::Send { to, message } => effects.sends.push((to, message)),
+                Action::Send { to, message } => effects.messages.push((to, message)),
                 Action::Restore(snapshot) => {
                     *state = decode_state(&snapshot.data)?;
-                    effects.revised = true;
+                    effects.state_changed = true;
                 }
                 Action::Apply(entry) => {
-                    effects.revised |= self.apply(entry.position, entry.payload, state);
+                    effects.state_changed |= self.apply(entry.position, entry.payload, state);
                 }
-                Action::ReadReady { token, .. } => self.answer_read(token, true),
-                Action::ReadFailed { token } => self.answer_read(token, false),
+                Action::ReadReady { token, .. } => self.complete_read(token, true),
+                Action::ReadFailed { token } => self.complete_read(token, false),
                 Action::BecameLeader(first) => {
                     spdlog::info!("became the leader", kv: { term = first.term });
-                    effects.led = Some(true);
+                    effects.gained_leadership = Some(true);
                 }
                 Action::LostLeadership => {
                     spdlog::info!("lost leadership", kv: { term = self.replica.term() });
-                    effects.led = Some(false);
-                    self.fail_waiting();
+                    effects.gained_leadership = Some(false);
+                    self.fail_pending_proposals();
                 }
             }
         }
@@ -150,32 +153,33 @@
             }
             Payload::Noop => None,
         };
-        self.answer(position, reply);
+        self.complete_proposal(position, reply);
         state.revision != before
     }
 
-    fn answer(&mut self, position: Position, reply: Option<Reply>) {
-        let Some((term, sender)) = self.waiting.remove(&position.index) else { return };
-        let own = term == position.term;
+    fn complete_proposal(&mut self, position: Position, reply: Option<Reply>) {
+        let Some((term, sender)) = self.pending_proposals.remove(&position.index) else { return };
+        let is_same_entry = term == position.term;
         let reply = match reply {
-            Some(reply) if own => ProposeReply::Done(reply),
+            Some(reply) if is_same_entry => ProposeReply::Done(reply),
             _ => ProposeReply::NotLeader,
         };
-        // One that no longer waits needs no answer.
+        // The send fails only if the caller no longer waits.
         let _ = sender.try_send(reply);
     }
 
-    fn answer_read(&mut self, token: u64, confirmed: bool) {
-        if let Some(sender) = self.reads.remove(&token) {
-            // One that no longer waits needs no answer.
+    fn complete_read(&mut self, token: u64, confirmed: bool) {
+        if let Some(sender) = self.pending_reads.remove(&token) {
+            // The send fails only if the caller no longer waits.
             let _ = sender.try_send(confirmed);
         }
     }
 
-    /// Answers all that wait: their commands may yet be committed by another leader.
-    fn fail_waiting(&mut self) {
-        for (_, (_, sender)) in std::mem::take(&mut self.waiting) {
-            // One that no longer waits needs no answer.
+    /// Replies with an unknown outcome to all pending proposals, because another leader may still
+    /// commit them.
+    fn fail_pending_proposals(&mut self) {
+        for (_, (_, sender)) in std::mem::take(&mut self.pending_proposals) {
+            // The send fails only if the caller no longer waits.
             let _ = sender.try_send(ProposeReply::Unknown);
         }
     }
@@ -183,9 +187,9 @@
     fn halt(&mut self, now_ms: u64, error: &StorageError) {
         spdlog::critical!("control replica halted: storage failed", kv: { error: });
         self.halted_ms = Some(now_ms);
-        self.fail_waiting();
-        for (_, sender) in std::mem::take(&mut self.reads) {
-            // One that no longer waits needs no answer.
+        self.fail_pending_proposals();
+        for (_, sender) in std::mem::take(&mut self.pending_reads) {
+            // The send fails only if the caller no longer waits.
             let _ = sender.try_send(false);
         }
     }
@@ -195,7 +199,7 @@
     match Command::decode(bytes) {
         Ok(command) => Some(state.apply(index, command)),
         Err(error) => {
-            spdlog::error!("command skipped", kv: { index, error: });
+            spdlog::error!("undecodable command skipped", kv: { index, error: });
             None
         }
     }
@@ -207,7 +211,7 @@
 }
 
 impl Node {
-    /// Lets the replica take a step and carries out what it asks for.
+    /// Runs a step of the replica and executes the actions that it returns.
     pub(super) fn drive(self: &Rc<Self>, step: impl FnOnce(&mut Driver, u64) -> Vec<Action>) {
         let now_ms = self.clock.now_ms();
         let mut core = self.core.borrow_mut();
@@ -216,14 +220,14 @@
             return;
         };
         let mut actions = step(driver, now_ms);
-        let mut sends = Vec::new();
-        let (mut revised, mut led) = (false, None);
+        let mut messages = Vec::new();
+        let (mut state_changed, mut gained_leadership) = (false, None);
         while !actions.is_empty() {
-            match driver.carry_out(actions, &mut core.state) {
+            match driver.execute(actions, &mut core.state) {
                 Ok(effects) => {
-                    sends.extend(effects.sends);
-                    revised |= effects.revised;
-                    led = effects.led.or(led);
+                    messages.extend(effects.messages);
+                    state_changed |= effects.state_changed;
+                    gained_leadership = effects.gained_leadership.or(gained_leadership);
                 }
                 Err(error) => {
                     driver.halt(now_ms, &error);
@@ -233,23 +237,23 @@
             }
             actions = driver.compact_if_due(&core.state);
         }
-        match led {
+        match gained_leadership {
             Some(true) => core.leading_since_ms = Some(now_ms),
             Some(false) => core.leading_since_ms = None,
             None => {}
         }
         let from = driver.replica.id();
-        let free = !driver.is_committing();
-        for (to, message) in sends {
+        let can_propose = !driver.is_committing();
+        for (to, message) in messages {
             self.send_consensus(core, from, to, message);
         }
-        if free && !core.proposals.is_empty() {
+        if can_propose && !core.proposals.is_empty() {
             let node = self.clone();
-            self.executor.spawn(async move { node.flush_soon() }).detach();
+            self.executor.spawn(async move { node.schedule_flush() }).detach();
         }
-        if revised {
+        if state_changed {
             let node = self.clone();
-            self.executor.spawn(async move { node.note_revision() }).detach();
+            self.executor.spawn(async move { node.notify_revision_changed() }).detach();
         }
     }
 
@@ -258,7 +262,7 @@
         self.drive(|driver, now_ms| driver.replica.tick(now_ms));
     }
 
-    /// Opens a storage that failed once more, and starts the replica from what it holds.
+    /// Reopens failed storage and restarts the replica from its contents.
     fn reopen_storage(&self) {
         let now_ms = self.clock.now_ms();
         let mut core = self.core.borrow_mut();
@@ -287,7 +291,7 @@
         Driver::open(disk, self.settings.consensus, seed, self.clock.now_ms())
     }
 
-    /// Takes a message for the replica `to`.
+    /// Handles a consensus message for the replica `to`; drops it if this is another replica.
     pub(crate) fn on_consensus(self: &Rc<Self>, from: ReplicaId, to: ReplicaId, message: Message) {
         self.drive(|driver, now_ms| {
             if driver.replica.id() != to {
--- a/crates/peer/src/node/founding.rs
+++ b/crates/peer/src/node/founding.rs
@@ -1,4 +1,4 @@
-//! Takes part in making the very first configuration.
+//! Bootstraps the first configuration of a cluster.
 
 use super::Node;
 use lycheehub_consensus::bootstrap::{self, Outcome, Status};
@@ -8,43 +8,47 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// How long an empty replica waits before it asks the seeds again, in milliseconds.
-const ASK_AGAIN_MS: u64 = 200;
+/// Delay before an empty replica queries the founders again, in milliseconds.
+const RETRY_MS: u64 = 200;
 
 impl Node {
-    /// Asks the seeds until this replica has a configuration or a leader sends it the log.
-    pub(super) async fn found(self: Rc<Self>) {
+    /// Queries the founders until this replica can bootstrap or a leader sends it the log.
+    pub(super) async fn bootstrap(self: Rc<Self>) {
         let founders = self.settings.founders();
-        while !self.is_founded() {
-            let answers = self.ask_founders(&founders).await;
+        while !self.is_bootstrapped() {
+            let statuses = self.request_founder_statuses(&founders).await;
             let own = self.replica_status().id;
             let name = &self.settings.instance;
-            let outcome = bootstrap::decide(own, name, &founders, &answers);
+            let outcome = bootstrap::decide(own, name, &founders, &statuses);
             if let Outcome::Bootstrap(config) = outcome
-                && (self.settings.may_found || answers.values().any(|a| a.config == config))
+                && (self.settings.may_found
+                    || statuses.values().any(|status| status.config == config))
             {
-                spdlog::info!("first configuration taken", kv: { voters = config.voters.len() as u64 });
+                spdlog::info!("cluster bootstrapped", kv: { voters = config.voters.len() as u64 });
                 self.drive(|driver, _| driver.replica.bootstrap(config));
                 return;
             }
-            Timer::after(Duration::from_millis(ASK_AGAIN_MS)).await;
+            Timer::after(Duration::from_millis(RETRY_MS)).await;
         }
     }
 
-    fn is_founded(&self) -> bool {
+    fn is_bootstrapped(&self) -> bool {
         self.core.borrow().replica().is_none_or(|replica| replica.is_bootstrapped())
     }
 
-    async fn ask_founders(&self, founders: &[InstanceName]) -> BTreeMap<InstanceName, Status> {
-        let mut answers = BTreeMap::new();
+    async fn request_founder_statuses(
+        &self,
+        founders: &[InstanceName],
+    ) -> BTreeMap<InstanceName, Status> {
+        let mut statuses = BTreeMap::new();
         for founder in founders.iter().filter(|name| **name != self.settings.instance) {
-            match self.ask_status(founder).await {
+            match self.request_status(founder).await {
                 Ok(status) => {
-                    answers.insert(founder.clone(), status);
+                    statuses.insert(founder.clone(), status);
                 }
-                Err(error) => spdlog::debug!("seed does not answer", kv: { error: }),
+                Err(error) => spdlog::debug!("founder status request failed", kv: { error: }),
             }
         }
-        answers
+        statuses
     }
 }
--- a/crates/peer/src/node/membership.rs
+++ b/crates/peer/src/node/membership.rs
@@ -1,4 +1,4 @@
-//! Looks after the voters and forgets old records.
+//! Reconciles the voters with the live replicas and removes expired records.
 
 use super::Node;
 use lycheehub_consensus::ReplicaId;
@@ -7,7 +7,7 @@
 use std::rc::Rc;
 
 impl Node {
-    pub(super) fn look_after_membership(self: &Rc<Self>) {
+    pub(super) fn tick_membership(self: &Rc<Self>) {
         let now_ms = self.clock.now_ms();
         let live: BTreeMap<ReplicaId, InstanceName> = {
             let mut core = self.core.borrow_mut();
--- a/crates/peer/src/node/mod.rs
+++ b/crates/peer/src/node/mod.rs
@@ -1,4 +1,4 @@
-//! The control thread: registry, replica or learned state, and controllers.
+//! The control thread: the registry, the replica or a state copied from one, and the controllers.
 
 mod calls;
 mod census;
@@ -20,8 +20,8 @@
 use crate::server;
 use crate::settings::Settings;
 use crate::views::Views;
-use crate::watch::HeardFrom;
-pub(crate) use directory::Told;
+use crate::watch::ReplicaPositions;
+pub(crate) use directory::WatchPosition;
 use driver::Driver;
 use lycheehub_clock::{Clock, Timers};
 use lycheehub_consensus::Replica;
@@ -35,7 +35,7 @@
 use lycheehub_route::Demands;
 use lycheehub_types::{EndpointName, InstanceName, InstanceRecord};
 use lycheehub_wire::ProposeReply;
-use placing::Placing;
+use placing::LeaderDispatch;
 pub(crate) use placing::SessionKey;
 use smol::LocalExecutor;
 use smol::channel::{Receiver, Sender};
@@ -45,18 +45,18 @@
 use std::rc::Rc;
 use std::sync::Arc;
 
-/// How often the replica's time is moved on, in milliseconds.
+/// Interval between ticks of the replica, in milliseconds.
 const REPLICA_TICK_MS: u64 = 50;
-/// How often records are exchanged, in milliseconds.
-const GOSSIP_MS: u64 = 750;
-/// How often the view is replaced at most, in milliseconds.
+/// Interval between heartbeats, which also exchange records with peers, in milliseconds.
+const HEARTBEAT_MS: u64 = 750;
+/// Interval between periodic publications of a changed view, in milliseconds.
 const PUBLISH_MS: u64 = 100;
-/// How often the leader's controllers run, in milliseconds.
-const CONTROLLER_MS: u64 = 250;
-/// How long an instance serves without hearing any other, in milliseconds.
-const ISOLATED_MS: u64 = 8_000;
-/// How often membership is looked after, in milliseconds.
-const MEMBERSHIP_MS: u64 = 300;
+/// Interval between runs of the leader's controllers, in milliseconds.
+const CONTROLLER_TICK_MS: u64 = 250;
+/// Time without contact to any peer after which an instance stops serving, in milliseconds.
+const ISOLATION_TIMEOUT_MS: u64 = 8_000;
+/// Interval between updates of the voter set, in milliseconds.
+const MEMBERSHIP_TICK_MS: u64 = 300;
 
 /// The control thread's state and tasks.
 pub struct Node {
@@ -69,72 +69,78 @@
     answers: Arc<dyn AnswerSource>,
     orders: Arc<dyn OrderSink>,
     core: RefCell<Core>,
-    /// Wakes those that wait for a new revision or a change of the directory.
-    revised: RefCell<Vec<Sender<()>>>,
+    /// Senders that wake the tasks waiting for a new revision or a directory change.
+    change_waiters: RefCell<Vec<Sender<()>>>,
     started_ms: u64,
-    /// The leader of which those that watch were told last.
+    /// The leader that was last announced to watchers.
     announced_leader: RefCell<Option<InstanceName>>,
-    /// How many watch this instance.
+    /// The number of watch requests that are waiting for a reply.
     watchers: Cell<usize>,
-    /// The last questions of instances without a replica that watch this one.
+    /// The latest watch request of each watching instance that has no replica.
     polls: RefCell<census::Polls>,
     /// The replicas whose directories are watched.
-    watched: RefCell<BTreeSet<InstanceName>>,
-    /// How far those have told what they heard.
-    heard_from: HeardFrom,
-    /// Places requests while this instance leads.
-    placing: RefCell<Option<Placing>>,
+    watched_replicas: RefCell<BTreeSet<InstanceName>>,
+    /// The position reached in the local changes of each watched replica.
+    replica_positions: ReplicaPositions,
+    /// Dispatches requests while this instance leads.
+    dispatch: RefCell<Option<LeaderDispatch>>,
 }
 
-/// What the control thread calls outside itself.
-pub struct Outside {
-    /// Where answers to this instance's requests are kept.
+/// External services that the control thread calls.
+pub struct Dependencies {
+    /// Looks up the stored answers to this instance's requests.
     pub answers: Arc<dyn AnswerSource>,
-    /// Where orders to endpoints are sent from.
+    /// Sends load orders to endpoints.
     pub orders: Arc<dyn OrderSink>,
 }
 
-/// What the control thread owns.
+/// The mutable state that the control thread owns.
 struct Core {
     registry: Registry,
     directory: Directory,
-    own: InstanceRecord,
+    /// The record that this instance publishes about itself.
+    own_record: InstanceRecord,
+    /// The position up to which each peer has been sent registry changes.
     cursors: BTreeMap<InstanceName, Cursor>,
     driver: Option<Driver>,
-    /// The state of the replica, or learned from one.
+    /// The state applied by the local replica, or copied from another instance's replica.
     state: State,
-    /// A quorum has confirmed the state once since the start.
-    confirmed: bool,
-    /// Another instance has told its records once since the start, or there is none to tell them.
-    heard: bool,
-    /// When another instance was last heard, in milliseconds.
-    heard_ms: u64,
-    /// The settings name other instances.
-    has_others: bool,
+    /// Whether a quorum has confirmed the state at least once since the start.
+    state_confirmed: bool,
+    /// Whether a peer has sent its records since the start, or the wait for them is over. Also true
+    /// if the settings name no peer.
+    records_received: bool,
+    /// When a record exchange with a peer last succeeded, or the start time, in milliseconds.
+    last_contact_ms: u64,
+    /// Whether the settings name other instances.
+    has_peers: bool,
     leader_hint: Option<InstanceName>,
     demands: Demands,
+    /// The granted slots of each endpoint, and when the grant expires in milliseconds.
     grants: BTreeMap<EndpointName, (u32, u64)>,
-    slot_book: SlotAllocator,
-    controller: MoveController,
-    placer: PlacementController,
-    /// When this instance began to lead, in milliseconds.
+    slot_allocator: SlotAllocator,
+    move_controller: MoveController,
+    placement_controller: PlacementController,
+    /// When this instance became the leader, in milliseconds.
     leading_since_ms: Option<u64>,
+    /// Encoded commands that wait to be proposed, with their reply senders.
     proposals: Vec<(Vec<u8>, Sender<ProposeReply>)>,
+    /// Whether the published view is out of date.
     dirty: bool,
     seed: u64,
 }
 
 impl Node {
-    /// Opens the data folder, if there is one, and makes the control thread's state.
+    /// Opens the data folder, if one is configured, and creates the control thread's state.
     ///
     /// # Errors
-    /// Fails where the data folder cannot be used or holds damaged files.
+    /// Fails if the data folder cannot be used or contains corrupt files.
     pub fn open(
         settings: Settings,
         clock: Clock,
         timers: Arc<dyn Timers>,
         views: Views,
-        outside: Outside,
+        dependencies: Dependencies,
         seed: u64,
     ) -> Result<Rc<Self>, StorageError> {
         let settings = Rc::new(settings);
@@ -150,7 +156,7 @@
             }
             None => None,
         };
-        let own = InstanceRecord {
+        let own_record = InstanceRecord {
             instance: settings.instance.clone(),
             peer_address: settings.peer_address.clone(),
             http_address: settings.http_address.clone(),
@@ -162,24 +168,24 @@
             stopping: false,
             shed_floor: BTreeMap::new(),
         };
-        let has_others = settings.seeds.iter().any(|seed| seed.instance != settings.instance);
+        let has_peers = settings.seeds.iter().any(|seed| seed.instance != settings.instance);
         let core = Core {
             registry: Registry::default(),
             directory: Directory::default(),
-            own,
+            own_record,
             cursors: BTreeMap::new(),
             driver,
             state,
-            confirmed: false,
-            heard: !has_others,
-            heard_ms: clock.now_ms(),
-            has_others,
+            state_confirmed: false,
+            records_received: !has_peers,
+            last_contact_ms: clock.now_ms(),
+            has_peers,
             leader_hint: None,
             demands: Demands::default(),
             grants: BTreeMap::new(),
-            slot_book: SlotAllocator::default(),
-            controller: MoveController::default(),
-            placer: PlacementController::default(),
+            slot_allocator: SlotAllocator::default(),
+            move_controller: MoveController::default(),
+            placement_controller: PlacementController::default(),
             leading_since_ms: None,
             proposals: Vec::new(),
             dirty: true,
@@ -193,69 +199,69 @@
             executor,
             links,
             views,
-            answers: outside.answers,
-            orders: outside.orders,
+            answers: dependencies.answers,
+            orders: dependencies.orders,
             core: RefCell::new(core),
-            revised: RefCell::default(),
+            change_waiters: RefCell::default(),
             started_ms: clock.now_ms(),
             announced_leader: RefCell::default(),
             watchers: Cell::new(0),
             polls: RefCell::default(),
-            watched: RefCell::default(),
-            heard_from: HeardFrom::default(),
-            placing: RefCell::default(),
+            watched_replicas: RefCell::default(),
+            replica_positions: ReplicaPositions::default(),
+            dispatch: RefCell::default(),
         }))
     }
 
-    /// Returns this run's number, which grows with each start of the instance.
+    /// Returns the incarnation of this run, which increases with each start of the instance.
     pub fn incarnation(&self) -> u64 {
-        self.core.borrow().own.incarnation
+        self.core.borrow().own_record.incarnation
     }
 
-    /// Runs until the channel of requests closes.
+    /// Runs until the request channel closes.
     pub fn run(self: Rc<Self>, listener: TcpListener, requests: Receiver<ControlRequest>) {
         self.run_with(listener, requests, std::future::ready(()));
     }
 
-    /// Runs until the channel of requests closes, and `beside` on the same thread.
+    /// Runs until the request channel closes, and runs `background` on the same thread.
     pub fn run_with(
         self: Rc<Self>,
         listener: TcpListener,
         requests: Receiver<ControlRequest>,
-        beside: impl Future<Output = ()> + 'static,
+        background: impl Future<Output = ()> + 'static,
     ) {
         let executor = self.executor.clone();
-        executor.spawn(beside).detach();
+        executor.spawn(background).detach();
         executor.spawn(server::accept(self.clone(), listener)).detach();
-        self.every(GOSSIP_MS, Self::beat);
-        self.every(PUBLISH_MS, |node| node.publish());
-        self.every(MEMBERSHIP_MS, Self::look_after_membership);
+        self.run_every(HEARTBEAT_MS, Self::send_heartbeat);
+        self.run_every(PUBLISH_MS, |node| node.publish());
+        self.run_every(MEMBERSHIP_TICK_MS, Self::tick_membership);
         if self.settings.balances {
-            self.every(report::REPORT_MS, Self::report);
-            self.every(CONTROLLER_MS, Self::run_controllers);
+            self.run_every(report::REPORT_MS, Self::report);
+            self.run_every(CONTROLLER_TICK_MS, Self::run_controllers);
         } else {
-            self.every(directory::DIRECTORY_MS, Self::look_after_directory);
-            self.every(placing::PLACING_MS, Self::look_after_placing);
-            self.every(placing::PLACING_MS, |node| node.look_after_leader());
-            self.every(rollouts::ROLLOUTS_MS, Self::look_after_rollouts);
+            self.run_every(directory::DIRECTORY_TICK_MS, Self::tick_directory);
+            self.run_every(placing::DISPATCH_TICK_MS, Self::tick_dispatch);
+            self.run_every(placing::DISPATCH_TICK_MS, |node| node.announce_leader_change());
+            self.run_every(rollouts::ROLLOUT_TICK_MS, Self::tick_rollouts);
         }
         if self.core.borrow().driver.is_some() {
-            self.every(REPLICA_TICK_MS, Self::tick_replica);
-            executor.spawn(self.clone().found()).detach();
+            self.run_every(REPLICA_TICK_MS, Self::tick_replica);
+            executor.spawn(self.clone().bootstrap()).detach();
         } else {
             executor.spawn(self.clone().follow()).detach();
         }
-        executor.spawn(self.clone().confirm()).detach();
-        self.beat();
+        executor.spawn(self.clone().confirm_state()).detach();
+        self.send_heartbeat();
         smol::block_on(executor.run(async move {
             while let Ok(request) = requests.recv().await {
-                self.take_request(request);
+                self.handle_request(request);
             }
         }));
     }
 
-    /// Runs `step` each `period_ms` milliseconds.
-    fn every(self: &Rc<Self>, period_ms: u64, step: impl Fn(&Rc<Self>) + 'static) {
+    /// Spawns a task that runs `step` every `period_ms` milliseconds.
+    fn run_every(self: &Rc<Self>, period_ms: u64, step: impl Fn(&Rc<Self>) + 'static) {
         let ticks = self.timers.subscribe(period_ms);
         let node = self.clone();
         let task = async move {
@@ -274,19 +280,19 @@
         &self.settings
     }
 
-    /// Notes that the state has a new revision.
-    fn note_revision(&self) {
+    /// Publishes the view and wakes waiting tasks after the state reached a new revision.
+    fn notify_revision_changed(&self) {
         self.core.borrow_mut().dirty = true;
         self.publish();
-        self.update_placing();
-        self.wake_watchers();
+        self.update_dispatcher();
+        self.wake_waiters();
     }
 
-    /// Wakes those that wait for a new revision or a change of the directory.
-    fn wake_watchers(&self) {
-        for waiting in self.revised.borrow_mut().drain(..) {
-            // One that no longer waits needs no word.
-            let _ = waiting.try_send(());
+    /// Wakes the tasks that wait for a new revision or a directory change.
+    fn wake_waiters(&self) {
+        for waiter in self.change_waiters.borrow_mut().drain(..) {
+            // The send fails only if the task no longer waits.
+            let _ = waiter.try_send(());
         }
     }
 }
@@ -296,19 +302,20 @@
         self.driver.as_ref().map(|driver| &driver.replica)
     }
 
-    /// Tells whether nothing was heard of any other instance for so long that what was accepted
-    /// since may not be in force here.
+    /// Returns whether this instance has had no contact to any peer for so long that it may have
+    /// missed changes accepted since.
     fn is_isolated(&self, now_ms: u64) -> bool {
-        self.has_others && now_ms >= self.heard_ms + ISOLATED_MS
+        self.has_peers && now_ms >= self.last_contact_ms + ISOLATION_TIMEOUT_MS
     }
 
-    /// Tells whether this instance may act as the only leader.
+    /// Returns whether this instance holds the leader lease, so that no other instance can act as
+    /// the leader.
     fn holds_lease(&self, now_ms: u64) -> bool {
         self.replica().is_some_and(|replica| replica.holds_lease(now_ms))
     }
 
-    /// Returns the instance that most likely leads: the one that the replica here follows, else the
-    /// one that last answered as the leader.
+    /// Returns the instance that most likely leads: the leader that the local replica follows, else
+    /// the instance that last replied as the leader.
     fn likely_leader(&self) -> Option<InstanceName> {
         let followed = self.replica().and_then(|replica| {
             replica.leader().and_then(|id| replica.config().voters.get(&id)).cloned()
--- a/crates/peer/src/node/placing.rs
+++ b/crates/peer/src/node/placing.rs
@@ -1,7 +1,7 @@
-//! Places the requests of all instances while this one leads.
+//! Dispatches the requests of all instances while this one leads.
 
 use super::Node;
-use crate::rollouts::{Sight, version_rules};
+use crate::rollouts::{TrafficScope, version_rules};
 use lycheehub_control::moves::RolloutController;
 use lycheehub_dispatch::{Decision, Dispatcher, Finished, InFlight, Job, JobId, Usage};
 use lycheehub_types::{AccountName, InstanceName};
@@ -9,61 +9,62 @@
 use std::collections::BTreeMap;
 use std::rc::Rc;
 
-/// How often what waits is looked at, in milliseconds.
-pub(super) const PLACING_MS: u64 = 50;
-/// How often the load is measured, in milliseconds.
-const LOAD_MS: u64 = 500;
-/// How long an instance may be silent before its requests are forgotten, in milliseconds.
-const SILENT_MS: u64 = 3_000;
+/// Interval between ticks of the dispatcher, in milliseconds.
+pub(super) const DISPATCH_TICK_MS: u64 = 50;
+/// Interval between load measurements, in milliseconds.
+const LOAD_INTERVAL_MS: u64 = 500;
+/// Time without a call after which the session of an instance ends, in milliseconds.
+const SESSION_TIMEOUT_MS: u64 = 3_000;
 
-/// The connection of an instance whose requests are placed here.
+/// Identifies a connection of an instance whose requests are dispatched here.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct SessionKey {
-    /// The instance's number here, the same for all its connections.
+    /// The number that this leader gave to the instance, the same for all its connections.
     pub(crate) instance: u32,
     /// The number of the connection.
     connection: u64,
 }
 
-/// An instance whose requests are placed here.
+/// The session of an instance whose requests are dispatched here.
 struct Session {
     instance: InstanceName,
     connection: u64,
-    heard_ms: u64,
+    last_seen_ms: u64,
 }
 
-/// The dispatcher with those that wait for it.
-pub(super) struct Placing {
+/// The dispatcher, the sessions of the instances, and the requests that wait for a decision.
+pub(super) struct LeaderDispatch {
     pub(super) dispatcher: Dispatcher,
-    deciding: BTreeMap<JobId, Sender<Decision>>,
+    decision_senders: BTreeMap<JobId, Sender<Decision>>,
     sessions: BTreeMap<u32, Session>,
-    /// The numbers of all instances that ever entered.
-    numbers: BTreeMap<InstanceName, u32>,
+    /// The numbers of all instances that have opened a session.
+    instance_numbers: BTreeMap<InstanceName, u32>,
     last_connection: u64,
-    load_noted_ms: u64,
-    /// Compares the versions of services that are rolled out.
+    load_recorded_ms: u64,
+    /// Controls rollouts by comparing the versions of a service.
     pub(super) rollouts: RolloutController,
-    /// The revision of the route document that the dispatcher has.
+    /// The revision of the route document set in the dispatcher.
     document_revision: u64,
 }
 
-impl Placing {
-    fn deliver(&mut self) {
+impl LeaderDispatch {
+    /// Sends decisions to the calls that wait for them.
+    fn deliver_decisions(&mut self) {
         for decision in self.dispatcher.take_decisions() {
             let (Decision::Place { job_id, .. } | Decision::Refuse { job_id, .. }) = &decision;
-            if let Some(sender) = self.deciding.remove(job_id) {
-                // One that no longer waits has withdrawn, or its instance is gone.
+            if let Some(sender) = self.decision_senders.remove(job_id) {
+                // The send fails only if the request was withdrawn or its session ended.
                 let _ = sender.try_send(decision);
             }
         }
     }
 
-    /// Measures what waits, and says so where anything does.
-    fn note_load(&mut self, now_ms: u64) {
-        if now_ms < self.load_noted_ms + LOAD_MS {
+    /// Records the load of each service, and logs services with waiting requests.
+    fn record_load(&mut self, now_ms: u64) {
+        if now_ms < self.load_recorded_ms + LOAD_INTERVAL_MS {
             return;
         }
-        self.load_noted_ms = now_ms;
+        self.load_recorded_ms = now_ms;
         for load in self.dispatcher.service_loads(now_ms) {
             let service = [("service", load.service.to_string())];
             metrics::gauge!("lycheehub_waiting_requests", &service).set(load.waiting as f64);
@@ -92,80 +93,81 @@
         session.filter(|session| session.connection == key.connection)
     }
 
-    fn forget(&mut self, now_ms: u64, session: u32) {
-        let Some(gone) = self.sessions.remove(&session) else { return };
-        spdlog::info!("instance left", kv: { instance: = gone.instance, session });
+    fn remove_session(&mut self, now_ms: u64, session: u32) {
+        let Some(removed) = self.sessions.remove(&session) else { return };
+        spdlog::info!("instance left", kv: { instance: = removed.instance, session });
         self.dispatcher.forget_instance(now_ms, session);
-        self.deciding.retain(|job_id, _| job_id.instance != session);
-        self.deliver();
+        self.decision_senders.retain(|job_id, _| job_id.instance != session);
+        self.deliver_decisions();
     }
 }
 
 impl Node {
-    /// Begins to place requests with leadership, and ends with it; lets the dispatcher's time pass.
-    pub(super) fn look_after_placing(self: &Rc<Self>) {
+    /// Starts and stops dispatching along with leadership, ends expired sessions and ticks the
+    /// dispatcher.
+    pub(super) fn tick_dispatch(self: &Rc<Self>) {
         let now_ms = self.clock.now_ms();
-        let leads = self.core.borrow().is_leader();
-        let places = self.placing.borrow().is_some();
-        if leads && !places {
-            self.begin_placing();
+        let is_leader = self.core.borrow().is_leader();
+        let is_dispatching = self.dispatch.borrow().is_some();
+        if is_leader && !is_dispatching {
+            self.start_dispatch();
         }
-        if !leads && places {
-            // Those that wait see their calls fail and turn elsewhere.
-            self.placing.borrow_mut().take();
-            spdlog::info!("placing ended with leadership");
+        if !is_leader && is_dispatching {
+            // Dropping the senders fails the waiting calls; the instances then retry elsewhere.
+            self.dispatch.borrow_mut().take();
+            spdlog::info!("leadership lost: dispatching stopped");
         }
-        let mut placing = self.placing.borrow_mut();
-        let Some(placing) = placing.as_mut() else { return };
-        let silent: Vec<u32> = placing
+        let mut dispatch = self.dispatch.borrow_mut();
+        let Some(dispatch) = dispatch.as_mut() else { return };
+        let expired: Vec<u32> = dispatch
             .sessions
             .iter()
-            .filter(|(_, session)| now_ms >= session.heard_ms + SILENT_MS)
+            .filter(|(_, session)| now_ms >= session.last_seen_ms + SESSION_TIMEOUT_MS)
             .map(|(number, _)| *number)
             .collect();
-        for session in silent {
-            placing.forget(now_ms, session);
+        for session in expired {
+            dispatch.remove_session(now_ms, session);
         }
-        placing.dispatcher.tick(now_ms);
-        placing.deliver();
-        placing.note_load(now_ms);
+        dispatch.dispatcher.tick(now_ms);
+        dispatch.deliver_decisions();
+        dispatch.record_load(now_ms);
     }
 
-    fn begin_placing(&self) {
+    fn start_dispatch(&self) {
         let dispatcher = Dispatcher::new(self.settings.dispatch);
-        *self.placing.borrow_mut() = Some(Placing {
+        *self.dispatch.borrow_mut() = Some(LeaderDispatch {
             dispatcher,
-            deciding: BTreeMap::new(),
+            decision_senders: BTreeMap::new(),
             sessions: BTreeMap::new(),
-            numbers: BTreeMap::new(),
+            instance_numbers: BTreeMap::new(),
             last_connection: 0,
-            load_noted_ms: 0,
+            load_recorded_ms: 0,
             rollouts: RolloutController::default(),
             document_revision: 0,
         });
-        spdlog::info!("placing begins with leadership");
-        self.update_placing();
+        spdlog::info!("leadership gained: dispatching started");
+        self.update_dispatcher();
     }
 
-    /// Passes the newest document and directory on to the dispatcher.
-    pub(super) fn update_placing(&self) {
+    /// Passes the current document, rollouts and directory to the dispatcher.
+    pub(super) fn update_dispatcher(&self) {
         let now_ms = self.clock.now_ms();
         let core = self.core.borrow();
-        let mut placing = self.placing.borrow_mut();
-        let Some(placing) = placing.as_mut() else { return };
+        let mut dispatch = self.dispatch.borrow_mut();
+        let Some(dispatch) = dispatch.as_mut() else { return };
         let record = &core.state.document;
-        if record.revision != placing.document_revision {
-            placing.document_revision = record.revision;
-            placing.dispatcher.set_document(now_ms, &record.document);
+        if record.revision != dispatch.document_revision {
+            dispatch.document_revision = record.revision;
+            dispatch.dispatcher.set_document(now_ms, &record.document);
         }
-        let rules = version_rules(&core.state.rollouts, Sight::Whole);
-        placing.dispatcher.set_version_rules(rules);
-        placing.dispatcher.set_endpoints(now_ms, core.directory.live());
-        placing.deliver();
+        let rules = version_rules(&core.state.rollouts, TrafficScope::AllInstances);
+        dispatch.dispatcher.set_version_rules(rules);
+        dispatch.dispatcher.set_endpoints(now_ms, core.directory.live());
+        dispatch.deliver_decisions();
     }
 
-    /// Takes an instance whose requests are placed here; nothing where this one does not lead.
-    pub(crate) fn enter(
+    /// Opens a session for an instance; returns `None` if this instance does not lead.
+    pub(crate) fn open_session(
         &self,
         instance: InstanceName,
         in_flight: &[InFlight],
@@ -174,58 +176,59 @@
         if !self.core.borrow().is_leader() {
             return None;
         }
-        if self.placing.borrow().is_none() {
-            self.begin_placing();
+        if self.dispatch.borrow().is_none() {
+            self.start_dispatch();
         }
         let now_ms = self.clock.now_ms();
-        let mut placing = self.placing.borrow_mut();
-        let placing = placing.as_mut()?;
-        let next = placing.numbers.len() as u32 + 1;
-        let number = *placing.numbers.entry(instance.clone()).or_insert(next);
-        placing.forget(now_ms, number);
-        placing.last_connection += 1;
-        let key = SessionKey { instance: number, connection: placing.last_connection };
+        let mut dispatch = self.dispatch.borrow_mut();
+        let dispatch = dispatch.as_mut()?;
+        let next = dispatch.instance_numbers.len() as u32 + 1;
+        let number = *dispatch.instance_numbers.entry(instance.clone()).or_insert(next);
+        dispatch.remove_session(now_ms, number);
+        dispatch.last_connection += 1;
+        let key = SessionKey { instance: number, connection: dispatch.last_connection };
         let count = in_flight.len() as u64;
         spdlog::info!("instance entered", kv: { instance: = instance, number, in_flight = count });
         let connection = key.connection;
-        placing.sessions.insert(number, Session { instance, connection, heard_ms: now_ms });
-        placing.dispatcher.record_in_flight(now_ms, number, in_flight);
-        placing.dispatcher.restore_usage(now_ms, number, usage);
+        dispatch.sessions.insert(number, Session { instance, connection, last_seen_ms: now_ms });
+        dispatch.dispatcher.record_in_flight(now_ms, number, in_flight);
+        dispatch.dispatcher.restore_usage(now_ms, number, usage);
         Some(key)
     }
 
-    /// Decides about a request; nothing where this instance stops leading meanwhile.
+    /// Waits for the decision on a request; returns `None` if the session ends or this instance
+    /// stops leading first.
     pub(crate) async fn place(&self, session: SessionKey, job: Job) -> Option<Decision> {
         let receiver = {
             let now_ms = self.clock.now_ms();
-            let mut placing = self.placing.borrow_mut();
-            let placing = placing.as_mut()?;
-            placing.session(session)?.heard_ms = now_ms;
+            let mut dispatch = self.dispatch.borrow_mut();
+            let dispatch = dispatch.as_mut()?;
+            dispatch.session(session)?.last_seen_ms = now_ms;
             let (sender, receiver) = bounded(1);
-            placing.deciding.insert(job.job_id, sender);
-            placing.dispatcher.submit(now_ms, job);
-            placing.deliver();
+            dispatch.decision_senders.insert(job.job_id, sender);
+            dispatch.dispatcher.submit(now_ms, job);
+            dispatch.deliver_decisions();
             receiver
         };
         receiver.recv().await.ok()
     }
 
-    /// Runs a step of the dispatcher for an instance; answers how many instances are served.
+    /// Runs a step of the dispatcher for a session; returns the number of open sessions.
     pub(crate) fn with_dispatcher(
         &self,
         session: SessionKey,
         step: impl FnOnce(&mut Dispatcher, u64),
     ) -> Option<u32> {
         let now_ms = self.clock.now_ms();
-        let mut placing = self.placing.borrow_mut();
-        let placing = placing.as_mut()?;
-        placing.session(session)?.heard_ms = now_ms;
-        step(&mut placing.dispatcher, now_ms);
-        placing.deliver();
-        u32::try_from(placing.sessions.len()).ok()
+        let mut dispatch = self.dispatch.borrow_mut();
+        let dispatch = dispatch.as_mut()?;
+        dispatch.session(session)?.last_seen_ms = now_ms;
+        step(&mut dispatch.dispatcher, now_ms);
+        dispatch.deliver_decisions();
+        u32::try_from(dispatch.sessions.len()).ok()
     }
 
-    /// Takes the ends of requests.
+    /// Passes finished requests to the dispatcher.
     pub(crate) fn finish(&self, session: SessionKey, finished: Vec<Finished>) -> Option<u32> {
         self.with_dispatcher(session, |dispatcher, now_ms| {
             for finished in finished {
@@ -234,32 +237,32 @@
         })
     }
 
-    /// Returns the client accounts that have used up most of their quota.
-    pub(crate) fn tight_accounts(&self) -> Vec<AccountName> {
+    /// Returns the client accounts that are close to their quota.
+    pub(crate) fn accounts_near_quota(&self) -> Vec<AccountName> {
         let now_ms = self.clock.now_ms();
-        let mut placing = self.placing.borrow_mut();
-        let placing = placing.as_mut();
-        placing.map_or_else(Vec::new, |placing| placing.dispatcher.accounts_near_quota(now_ms))
+        let mut dispatch = self.dispatch.borrow_mut();
+        let dispatch = dispatch.as_mut();
+        dispatch.map_or_else(Vec::new, |dispatch| dispatch.dispatcher.accounts_near_quota(now_ms))
     }
 
-    /// Takes the news that the caller of a request that waits has left.
+    /// Withdraws a waiting request whose caller has disconnected.
     pub(crate) fn withdraw_job(&self, session: SessionKey, number: u64) -> Option<u32> {
         let job_id = JobId { instance: session.instance, number };
         let instances = self.with_dispatcher(session, |dispatcher, now_ms| {
             dispatcher.withdraw(now_ms, job_id);
         });
-        if let Some(placing) = self.placing.borrow_mut().as_mut() {
-            placing.deciding.remove(&job_id);
+        if let Some(dispatch) = self.dispatch.borrow_mut().as_mut() {
+            dispatch.decision_senders.remove(&job_id);
         }
         instances
     }
 
-    /// Forgets an instance whose connection has ended.
-    pub(crate) fn leave(&self, session: SessionKey) {
+    /// Closes the session of a connection that has ended.
+    pub(crate) fn close_session(&self, session: SessionKey) {
         let now_ms = self.clock.now_ms();
-        let mut placing = self.placing.borrow_mut();
-        if let Some(placing) = placing.as_mut().filter(|placing| placing.is_current(session)) {
-            placing.forget(now_ms, session.instance);
+        let mut dispatch = self.dispatch.borrow_mut();
+        if let Some(dispatch) = dispatch.as_mut().filter(|dispatch| dispatch.is_current(session)) {
+            dispatch.remove_session(now_ms, session.instance);
         }
     }
 }
--- a/crates/peer/src/node/propose.rs
+++ b/crates/peer/src/node/propose.rs
@@ -1,4 +1,4 @@
-//! Commits commands and reads through the leader, wherever it is.
+//! Commits commands and reads through the leader, which may be this instance or a peer.
 
 use super::Node;
 use crate::feeds;
@@ -15,44 +15,44 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// How long a command may take until its outcome counts as unknown, in milliseconds.
+/// Time after which a proposal ends with an unknown outcome or without a leader, in milliseconds.
 const PROPOSE_TIMEOUT_MS: u64 = 4_000;
-/// How long one instance may take to commit a command, in milliseconds.
-const PROPOSE_TRY_MS: u64 = 2_500;
-/// How long to wait before the leader is looked for again, in milliseconds.
-const LOOK_AGAIN_MS: u64 = 50;
+/// Timeout of one attempt at one instance, in milliseconds.
+const PROPOSE_ATTEMPT_MS: u64 = 2_500;
+/// Delay before all candidates are tried again, in milliseconds.
+const LEADER_RETRY_MS: u64 = 50;
 
 impl Node {
-    /// Commits a command, here or at the leader.
+    /// Commits a command through the leader.
     ///
-    /// Every command may be sent twice without harm, so it is tried again until its outcome is
-    /// known or the time is over.
+    /// Sending a command twice is harmless, so it is retried until its outcome is known or
+    /// [`PROPOSE_TIMEOUT_MS`] has passed.
     pub(super) async fn propose(self: &Rc<Self>, command: Command) -> ProposeReply {
         let command = command.encode();
         let give_up_ms = self.clock.now_ms() + PROPOSE_TIMEOUT_MS;
-        let mut sent = false;
+        let mut may_be_committed = false;
         while self.clock.now_ms() < give_up_ms {
             for target in self.leader_candidates() {
-                match self.propose_at(&target, command.clone()).await {
+                match self.propose_to(&target, command.clone()).await {
                     ProposeReply::NotLeader => {}
-                    ProposeReply::Unknown => sent = true,
-                    done => {
+                    ProposeReply::Unknown => may_be_committed = true,
+                    outcome => {
                         self.core.borrow_mut().leader_hint = Some(target);
-                        return done;
+                        return outcome;
                     }
                 }
                 if self.clock.now_ms() >= give_up_ms {
                     break;
                 }
             }
-            Timer::after(Duration::from_millis(LOOK_AGAIN_MS)).await;
+            Timer::after(Duration::from_millis(LEADER_RETRY_MS)).await;
         }
-        if sent { ProposeReply::Unknown } else { ProposeReply::NotLeader }
+        if may_be_committed { ProposeReply::Unknown } else { ProposeReply::NotLeader }
     }
 
-    async fn propose_at(self: &Rc<Self>, target: &InstanceName, command: Vec<u8>) -> ProposeReply {
+    async fn propose_to(self: &Rc<Self>, target: &InstanceName, command: Vec<u8>) -> ProposeReply {
         if *target == self.settings.instance {
-            return self.propose_here(command).await;
+            return self.propose_local(command).await;
         }
         let call = |peer: peer::Client| async move {
             let mut request = peer.propose_request();
@@ -60,15 +60,15 @@
             let reply = request.send().promise.await?;
             Ok(ProposeReply::try_from(reply.get()?.get_reply()?)?)
         };
-        match self.call("propose", target, PROPOSE_TRY_MS, call).await {
+        match self.call("propose", target, PROPOSE_ATTEMPT_MS, call).await {
             Ok(reply) => reply,
-            // Without a connection nothing was sent.
+            // The command was not sent, because there was no connection.
             Err(error) if error.step() == CONNECT => ProposeReply::NotLeader,
             Err(_) => ProposeReply::Unknown,
         }
     }
 
-    /// Returns the instances to try, the one most likely to lead first.
+    /// Returns the instances that may lead, the most likely one first.
     fn leader_candidates(&self) -> Vec<InstanceName> {
         let mut candidates = self.replica_instances();
         let core = self.core.borrow();
@@ -83,44 +83,44 @@
     }
 
     /// Commits an encoded command if this instance leads.
-    pub(crate) async fn propose_here(self: &Rc<Self>, command: Vec<u8>) -> ProposeReply {
+    pub(crate) async fn propose_local(self: &Rc<Self>, command: Vec<u8>) -> ProposeReply {
         if !self.core.borrow().is_leader() {
             return ProposeReply::NotLeader;
         }
         let Ok(command) = Command::decode(&command) else { return ProposeReply::NotLeader };
-        if !self.has_copies_for(&command) {
+        if !self.has_enough_replicas(&command) {
             return ProposeReply::NotLeader;
         }
         let command = command.with_leader_time(self.clock.now_unix_ms()).encode();
         let (sender, receiver) = bounded(1);
         self.core.borrow_mut().proposals.push((command, sender));
-        self.flush_soon();
-        let reply = within(PROPOSE_TRY_MS, receiver.recv()).await;
+        self.schedule_flush();
+        let reply = within(PROPOSE_ATTEMPT_MS, receiver.recv()).await;
         reply.and_then(Result::ok).unwrap_or(ProposeReply::Unknown)
     }
 
-    /// Tells whether enough replicas store what is committed now, so that it survives the loss of
-    /// as many disks as must be borne.
-    fn has_copies_for(&self, command: &Command) -> bool {
+    /// Returns whether a committed entry is stored on enough replicas to survive the number of disk
+    /// losses that the settings require.
+    fn has_enough_replicas(&self, command: &Command) -> bool {
         let core = self.core.borrow();
         let quorum = core.replica().map_or(0, |replica| replica.config().quorum());
-        let enough = quorum >= self.settings.copies_min;
-        if !enough {
+        let is_enough = quorum >= self.settings.copies_min;
+        if !is_enough {
             let kind = command.kind();
             spdlog::warn!("command not taken: too few replicas", kv: { kind, quorum });
         }
-        enough
+        is_enough
     }
 
-    /// Stores what waits to be proposed, unless earlier commands are not committed yet; what comes
-    /// meanwhile is then stored together.
-    pub(super) fn flush_soon(self: &Rc<Self>) {
-        let idle = {
+    /// Proposes the queued commands unless earlier ones are not committed yet. Commands that arrive
+    /// meanwhile are then stored as one batch.
+    pub(super) fn schedule_flush(self: &Rc<Self>) {
+        let can_flush = {
             let core = self.core.borrow();
-            let free = core.driver.as_ref().is_none_or(|driver| !driver.is_committing());
-            free && !core.proposals.is_empty()
+            let can_propose = core.driver.as_ref().is_none_or(|driver| !driver.is_committing());
+            can_propose && !core.proposals.is_empty()
         };
-        if idle {
+        if can_flush {
             let node = self.clone();
             self.executor.spawn(async move { node.flush_proposals() }).detach();
         }
@@ -135,47 +135,47 @@
         self.drive(|driver, now_ms| {
             let Some((first, actions)) = driver.replica.propose_all(now_ms, commands) else {
                 for sender in senders {
-                    // One that no longer waits needs no answer.
+                    // The send fails only if the caller no longer waits.
                     let _ = sender.try_send(ProposeReply::NotLeader);
                 }
                 return Vec::new();
             };
             for (offset, sender) in senders.into_iter().enumerate() {
                 let index = first.index + offset as u64;
-                driver.wait_for(Position { term: first.term, index }, sender);
+                driver.register_proposal(Position { term: first.term, index }, sender);
             }
             actions
         });
     }
 
-    /// Reads changes after `revision` if this instance leads and a quorum confirms it.
-    pub(crate) async fn read_here(self: &Rc<Self>, revision: u64) -> Option<Feed> {
+    /// Reads the changes after `revision` if this instance leads and a quorum confirms that.
+    pub(crate) async fn read_local(self: &Rc<Self>, revision: u64) -> Option<Feed> {
         let (sender, receiver) = bounded(1);
         self.drive(|driver, now_ms| {
             let token = driver.begin_read(sender);
             driver.replica.read(now_ms, token)
         });
-        let confirmed = within(PROPOSE_TRY_MS, receiver.recv()).await;
+        let confirmed = within(PROPOSE_ATTEMPT_MS, receiver.recv()).await;
         if !confirmed.and_then(Result::ok).unwrap_or(false) {
             return None;
         }
         Some(self.core.borrow().state.feed_after(revision))
     }
 
-    async fn read_at(self: &Rc<Self>, target: &InstanceName, revision: u64) -> Option<Feed> {
+    async fn read_from(self: &Rc<Self>, target: &InstanceName, revision: u64) -> Option<Feed> {
         if *target == self.settings.instance {
-            return self.read_here(revision).await;
+            return self.read_local(revision).await;
         }
         let call = |peer| feeds::read(peer, revision);
-        self.call("read", target, PROPOSE_TRY_MS, call).await.ok().flatten()
+        self.call("read", target, PROPOSE_ATTEMPT_MS, call).await.ok().flatten()
     }
 
-    /// Reads all that is committed, confirmed by a quorum.
+    /// Reads the changes after `revision` through the leader, confirmed by a quorum.
     pub(super) async fn read_feed(self: &Rc<Self>, revision: u64) -> Option<Feed> {
         let give_up_ms = self.clock.now_ms() + PROPOSE_TIMEOUT_MS;
         while self.clock.now_ms() < give_up_ms {
             for target in self.leader_candidates() {
-                if let Some(feed) = self.read_at(&target, revision).await {
+                if let Some(feed) = self.read_from(&target, revision).await {
                     self.core.borrow_mut().leader_hint = Some(target);
                     return Some(feed);
                 }
@@ -183,17 +183,19 @@
                     return None;
                 }
             }
-            Timer::after(Duration::from_millis(LOOK_AGAIN_MS)).await;
+            Timer::after(Duration::from_millis(LEADER_RETRY_MS)).await;
         }
         None
     }
 
-    /// Reads the state through a quorum and takes it; a replica only waits until it has it.
-    pub(super) async fn read_anywhere(self: &Rc<Self>) -> bool {
+    /// Reads the state through a quorum and applies it; returns whether the local state has reached
+    /// the confirmed revision. A replica does not apply the read state, as it gets changes by the
+    /// log.
+    pub(super) async fn refresh_state(self: &Rc<Self>) -> bool {
         let revision = self.core.borrow().state.revision;
         let Some(feed) = self.read_feed(revision).await else { return false };
         let target = feed.revision;
-        self.take_feed(feed);
+        self.apply_feed(feed);
         self.core.borrow().state.revision >= target
     }
 }
--- a/crates/peer/src/node/publish.rs
+++ b/crates/peer/src/node/publish.rs
@@ -1,4 +1,4 @@
-//! Publishes the view by which traffic threads work.
+//! Publishes the view that the traffic threads use.
 
 use super::{Core, Node};
 use lycheehub_control::View;
@@ -8,7 +8,7 @@
 use std::collections::BTreeMap;
 
 impl Node {
-    /// Replaces the view where something changed.
+    /// Publishes a new view if anything changed.
     pub(super) fn publish(&self) {
         let now_ms = self.clock.now_ms();
         let view = {
@@ -31,8 +31,8 @@
         estate: core.state.estate.clone(),
         shares: version_shares(&core.state),
         instances: instances.collect(),
-        shed_floor: heard_floors(core, now_ms),
-        ready: core.confirmed && core.heard && !core.is_isolated(now_ms),
+        shed_floor: peer_shed_floors(core, now_ms),
+        ready: core.state_confirmed && core.records_received && !core.is_isolated(now_ms),
         ..View::default()
     };
     let live: Vec<&InstanceName> =
@@ -42,7 +42,7 @@
         let granted = core.grants.get(&record.endpoint).filter(|(_, until_ms)| now_ms < *until_ms);
         let granted_slots = match granted {
             Some((slots, _)) => *slots,
-            None => equal_share(&record, &live, &core.own.instance),
+            None => equal_share(&record, &live, &core.own_record.instance),
         };
         let lease_until_ms = known.made_ms + ENDPOINT_LEASE_MS;
         let name = record.endpoint.clone();
@@ -51,24 +51,24 @@
     view
 }
 
-/// Returns an instance's share of an endpoint's slots where no leader grants any.
+/// Returns an instance's equal share of an endpoint's slots, used without a grant of the leader.
 fn equal_share(record: &EndpointRecord, live: &[&InstanceName], own: &InstanceName) -> u32 {
-    let Some(place) = live.iter().position(|name| *name == own) else { return 0 };
+    let Some(index) = live.iter().position(|name| *name == own) else { return 0 };
     let count = live.len() as u32;
-    let turn = record
+    let name_hash = record
         .endpoint
         .as_str()
         .bytes()
         .fold(0u32, |sum, byte| sum.wrapping_mul(31).wrapping_add(u32::from(byte)));
-    let rotated = (place as u32 + turn) % count;
+    let rotated = (index as u32 + name_hash) % count;
     record.slots / count + u32::from(rotated < record.slots % count)
 }
 
-/// Returns the highest floors that other live instances publish.
-fn heard_floors(core: &Core, now_ms: u64) -> BTreeMap<ServiceName, Tier> {
+/// Returns, for each service, the highest shed floor that other live instances publish.
+fn peer_shed_floors(core: &Core, now_ms: u64) -> BTreeMap<ServiceName, Tier> {
     let mut floors: BTreeMap<ServiceName, Tier> = BTreeMap::new();
     for known in core.registry.live_instances(now_ms) {
-        if known.record.instance == core.own.instance {
+        if known.record.instance == core.own_record.instance {
             continue;
         }
         for (service, tier) in &known.record.shed_floor {
--- a/crates/peer/src/node/report.rs
+++ b/crates/peer/src/node/report.rs
@@ -1,4 +1,5 @@
-//! Reports to the leader, and what the leader makes of them: slot grants and steps of moves.
+//! Reports to the leader, which answers them with slot grants and uses them to decide the steps of
+//! moves.
 
 use super::calls::CALL_TIMEOUT_MS;
 use super::{Core, Node};
@@ -12,11 +13,11 @@
 use std::collections::BTreeMap;
 use std::rc::Rc;
 
-/// How often this instance reports to the leader, in milliseconds.
+/// Interval between reports to the leader, in milliseconds.
 pub(super) const REPORT_MS: u64 = 500;
 
 impl Node {
-    /// Sends the newest demands and observations to the leader.
+    /// Sends the current demands and the new observations to the leader.
     pub(super) fn report(self: &Rc<Self>) {
         let leader = {
             let core = self.core.borrow();
@@ -28,7 +29,7 @@
             let mut core = self.core.borrow_mut();
             let now_ms = self.clock.now_ms();
             core.grants.retain(|_, (_, until_ms)| now_ms < *until_ms);
-            // An endpoint of which nothing is wanted need not be named.
+            // Endpoints without demand are left out.
             let wanted = core.demands.endpoints.iter().filter(|(_, demand)| !demand.is_idle());
             Report {
                 instance: self.settings.instance.clone(),
@@ -45,7 +46,7 @@
 
     async fn send_report(self: Rc<Self>, leader: InstanceName, report: Report) {
         let sent_ms = self.clock.now_ms();
-        let kept = report.clone();
+        let unsent = report.clone();
         let reply = if leader == self.settings.instance {
             Ok(self.on_report(report))
         } else {
@@ -58,17 +59,18 @@
             self.call("report", &leader, CALL_TIMEOUT_MS, call).await
         };
         match reply {
-            Ok(reply) if reply.taken => self.take_grants(sent_ms, reply),
-            Ok(_) => self.keep_report(kept),
+            Ok(reply) if reply.taken => self.apply_grants(sent_ms, reply),
+            Ok(_) => self.requeue_report(unsent),
             Err(error) => {
                 spdlog::debug!("report lost", kv: { error: });
-                self.keep_report(kept);
+                self.requeue_report(unsent);
             }
         }
     }
 
-    /// Keeps what the leader did not take for the next report.
-    fn keep_report(self: &Rc<Self>, report: Report) {
+    /// Adds observations that the leader did not accept to the next report, and looks for the
+    /// leader.
+    fn requeue_report(self: &Rc<Self>, report: Report) {
         {
             let mut core = self.core.borrow_mut();
             for (key, observation) in report.observations {
@@ -76,20 +78,21 @@
             }
             core.leader_hint = None;
         }
-        self.look_for_leader();
+        self.find_leader();
     }
 
-    /// Finds the leader by a read, where no replica here knows it.
-    fn look_for_leader(self: &Rc<Self>) {
+    /// Finds the leader by a read, which updates the leader hint; used when the likely leader is
+    /// unknown or did not accept a report.
+    fn find_leader(self: &Rc<Self>) {
         let node = self.clone();
         let task = async move {
-            node.read_anywhere().await;
+            node.refresh_state().await;
         };
         self.executor.spawn(task).detach();
     }
 
-    /// Takes grants; their lease counts from when the report was sent.
-    fn take_grants(&self, sent_ms: u64, reply: ReportReply) {
+    /// Applies slot grants; their lease starts when the report was sent.
+    fn apply_grants(&self, sent_ms: u64, reply: ReportReply) {
         let mut core = self.core.borrow_mut();
         if reply.same {
             core.grants.values_mut().for_each(|(_, until_ms)| *until_ms = sent_ms + GRANT_LEASE_MS);
@@ -104,7 +107,8 @@
         core.dirty = true;
     }
 
-    /// Takes another instance's report as the leader.
+    /// Handles the report of an instance; rejects it if this instance does not hold the leader
+    /// lease.
     pub(crate) fn on_report(&self, report: Report) -> ReportReply {
         let now_ms = self.clock.now_ms();
         let now_unix_ms = self.clock.now_unix_ms();
@@ -113,20 +117,24 @@
         if !core.holds_lease(now_ms) {
             return ReportReply::default();
         }
-        core.controller.observe(now_unix_ms, &core.state, &report.observations);
+        core.move_controller.observe(now_unix_ms, &core.state, &report.observations);
         for (id, reason) in &report.trips {
-            core.controller.trip(now_unix_ms, id, reason.clone());
+            core.move_controller.trip(now_unix_ms, id, reason.clone());
         }
-        let settled =
+        let prior_grants_expired =
             core.leading_since_ms.is_some_and(|since_ms| now_ms >= since_ms + GRANT_LEASE_MS);
-        let grants = if settled { grants(core, now_ms, &report) } else { BTreeMap::new() };
+        let grants = if prior_grants_expired {
+            allocate_slots(core, now_ms, &report)
+        } else {
+            BTreeMap::new()
+        };
         let same = grants_digest(grants.iter().map(|(name, slots)| (name, *slots)))
             == report.grants_digest;
         let grants = if same { BTreeMap::new() } else { grants };
         ReportReply { taken: true, grants, same }
     }
 
-    /// Runs the leader's controllers.
+    /// Runs the controllers of moves and placement while this instance holds the leader lease.
     pub(super) fn run_controllers(self: &Rc<Self>) {
         let now_ms = self.clock.now_ms();
         let (steps, orders) = {
@@ -135,9 +143,9 @@
             if !core.holds_lease(now_ms) {
                 return;
             }
-            let supply = supply(core, now_ms);
-            let steps = core.controller.tick(self.clock.now_unix_ms(), &core.state, &supply);
-            (steps, orders(core, now_ms))
+            let supply = slots_by_version(core, now_ms);
+            let steps = core.move_controller.tick(self.clock.now_unix_ms(), &core.state, &supply);
+            (steps, due_load_orders(core, now_ms))
         };
         for order in orders {
             spdlog::info!("endpoint ordered to load", kv: {
@@ -158,33 +166,33 @@
             let node = self.clone();
             let command = Command::StepMove(step).encode();
             let task = async move {
-                // A step that is not taken is decided anew at the next run.
-                let _ = node.propose_here(command).await;
+                // A step that is not committed is decided again at the next run.
+                let _ = node.propose_local(command).await;
             };
             self.executor.spawn(task).detach();
         }
     }
 }
 
-/// Shares the slots of each endpoint that the report names.
-fn grants(core: &mut Core, now_ms: u64, report: &Report) -> BTreeMap<EndpointName, u32> {
+/// Grants slots of each live endpoint to the reporting instance.
+fn allocate_slots(core: &mut Core, now_ms: u64, report: &Report) -> BTreeMap<EndpointName, u32> {
     let live: BTreeMap<EndpointName, u32> = core
         .registry
         .live_endpoints(now_ms)
         .map(|known| (known.record.endpoint.clone(), known.record.slots))
         .collect();
-    core.slot_book.retain(|endpoint| live.contains_key(endpoint));
+    core.slot_allocator.retain(|endpoint| live.contains_key(endpoint));
     let mut grants = BTreeMap::new();
     for (endpoint, slots) in live {
         let demand = report.demands.get(&endpoint).copied().unwrap_or_default();
-        let granted = core.slot_book.grant(now_ms, &endpoint, slots, &report.instance, demand);
+        let granted = core.slot_allocator.grant(now_ms, &endpoint, slots, &report.instance, demand);
         grants.insert(endpoint, granted);
     }
     grants
 }
 
-/// Decides the orders that are due, while this instance holds the lease.
-fn orders(core: &mut Core, now_ms: u64) -> Vec<LoadOrder> {
+/// Returns the load orders that are due.
+fn due_load_orders(core: &mut Core, now_ms: u64) -> Vec<LoadOrder> {
     let Some(replica) = core.driver.as_ref().map(|driver| &driver.replica) else {
         return Vec::new();
     };
@@ -199,11 +207,11 @@
         .map(|known| &known.record)
         .filter(|record| !record.leaving)
         .collect();
-    core.placer.tick(now_ms, leadership, &core.state, &live)
+    core.placement_controller.tick(now_ms, leadership, &core.state, &live)
 }
 
-/// Sums up the slots of live endpoints by service and version.
-fn supply(core: &Core, now_ms: u64) -> SlotsByVersion {
+/// Sums the slots of live endpoints that are not leaving, by service and version.
+fn slots_by_version(core: &Core, now_ms: u64) -> SlotsByVersion {
     let mut supply = SlotsByVersion::new();
     for known in core.registry.live_endpoints(now_ms).filter(|known| !known.record.leaving) {
         let key = (known.record.service.clone(), known.record.version.clone());
--- a/crates/peer/src/node/requests.rs
+++ b/crates/peer/src/node/requests.rs
@@ -1,4 +1,4 @@
-//! Requests from the traffic threads.
+//! Handles requests from the traffic threads.
 
 use super::Node;
 use super::calls::CALL_TIMEOUT_MS;
@@ -10,37 +10,38 @@
 use std::rc::Rc;
 
 impl Node {
-    pub(super) fn take_request(self: &Rc<Self>, request: ControlRequest) {
+    pub(super) fn handle_request(self: &Rc<Self>, request: ControlRequest) {
         match request {
-            ControlRequest::Announce(record) => self.take_announcement(record),
-            ControlRequest::Hear(record) => self.hear(record),
+            ControlRequest::Announce(record) => self.apply_announcement(record),
+            ControlRequest::Hear(record) => self.announce_endpoint(record),
             ControlRequest::Census(sender) => {
-                // One that no longer waits is told nothing.
+                // The send fails only if the caller no longer waits.
                 let _ = sender.try_send(self.census());
             }
             ControlRequest::Withdraw(endpoint, sender) => {
-                // One that no longer waits is told nothing.
+                // The send fails only if the caller no longer waits.
                 let _ = sender.try_send(self.withdraw(&endpoint));
             }
-            ControlRequest::Report(demands) => self.take_demands(demands),
+            ControlRequest::Report(demands) => self.apply_demands(demands),
             ControlRequest::Propose(command, sender) => {
-                self.answer_later(sender, |node| async move { node.propose(command).await });
+                self.spawn_reply(sender, |node| async move { node.propose(command).await });
             }
             ControlRequest::Read(sender) => {
-                self.answer_later(sender, |node| async move { node.statement().await });
+                self.spawn_reply(sender, |node| async move { node.read_statement().await });
             }
             ControlRequest::Answer(instance, incarnation, request, sender) => {
-                self.answer_later(sender, |node| async move {
-                    node.ask_answer(&instance, incarnation, request).await
+                self.spawn_reply(sender, |node| async move {
+                    node.fetch_answer(&instance, incarnation, request).await
                 });
             }
             ControlRequest::Stop(sender) => {
-                self.answer_later(sender, |node| async move { node.stop().await });
+                self.spawn_reply(sender, |node| async move { node.stop().await });
             }
         }
     }
 
-    fn answer_later<T, F>(
+    /// Spawns `work` and sends its result as the reply.
+    fn spawn_reply<T, F>(
         self: &Rc<Self>,
         sender: smol::channel::Sender<T>,
         work: impl FnOnce(Rc<Self>) -> F,
@@ -50,29 +51,29 @@
     {
         let work = work(self.clone());
         let task = async move {
-            // One that no longer waits needs no answer.
+            // The send fails only if the caller no longer waits.
             let _ = sender.send(work.await).await;
         };
         self.executor.spawn(task).detach();
     }
 
-    fn take_announcement(self: &Rc<Self>, record: EndpointRecord) {
-        let leaves = {
+    fn apply_announcement(self: &Rc<Self>, record: EndpointRecord) {
+        let starts_leaving = {
             let mut core = self.core.borrow_mut();
             let before = core.registry.endpoint(&record.endpoint);
-            let known = before.is_some_and(|known| known.record.leaving);
-            let leaves = record.leaving && !known;
-            let news = core.registry.update_endpoint(self.clock.now_ms(), record, 0);
-            core.dirty |= news;
-            leaves
+            let was_leaving = before.is_some_and(|known| known.record.leaving);
+            let starts_leaving = record.leaving && !was_leaving;
+            let changed = core.registry.update_endpoint(self.clock.now_ms(), record, 0);
+            core.dirty |= changed;
+            starts_leaving
         };
-        if leaves {
-            self.beat_urgently();
+        if starts_leaving {
+            self.send_urgent_heartbeat();
         }
     }
 
-    fn take_demands(self: &Rc<Self>, demands: Demands) {
-        let (starved, shed) = {
+    fn apply_demands(self: &Rc<Self>, demands: Demands) {
+        let (became_starved, shed_floor_changed) = {
             let mut core = self.core.borrow_mut();
             let mut observations = std::mem::take(&mut core.demands.observations);
             let mut trips = std::mem::take(&mut core.demands.trips);
@@ -81,20 +82,21 @@
             }
             trips.extend(demands.trips.clone());
             trips.retain(|id, _| core.state.moves.get(id).is_some_and(|m| !m.phase.is_final()));
-            let shed = core.demands.shed_floor != demands.shed_floor;
-            let starved = demands.starved && !core.demands.starved;
+            let shed_floor_changed = core.demands.shed_floor != demands.shed_floor;
+            let became_starved = demands.starved && !core.demands.starved;
             core.demands = Demands { observations, trips, ..demands };
-            (starved, shed)
+            (became_starved, shed_floor_changed)
         };
-        if starved {
+        if became_starved {
             self.report();
         }
-        if shed {
-            self.beat_urgently();
+        if shed_floor_changed {
+            self.send_urgent_heartbeat();
         }
     }
 
-    async fn statement(self: Rc<Self>) -> Option<Statement> {
+    /// Reads the committed state through a quorum and applies it here.
+    async fn read_statement(self: Rc<Self>) -> Option<Statement> {
         let feed = self.read_feed(0).await?;
         let statement = Statement {
             revision: feed.revision,
@@ -103,11 +105,12 @@
             document: feed.document.clone().unwrap_or_default(),
             rollouts: feed.rollouts.clone(),
         };
-        self.take_feed(feed);
+        self.apply_feed(feed);
         Some(statement)
     }
 
-    async fn ask_answer(
+    /// Requests a stored answer from the instance that dispatched the request.
+    async fn fetch_answer(
         self: &Rc<Self>,
         instance: &InstanceName,
         incarnation: u64,
@@ -127,24 +130,25 @@
         self.call("answer", instance, CALL_TIMEOUT_MS, call).await.ok()
     }
 
-    /// Returns what is known of the answer to a request of an earlier or this run of an instance.
+    /// Returns the stored answer to a request of this run of this instance; answers of another run
+    /// or instance are gone.
     pub(crate) fn kept_answer(
         &self,
         instance: &InstanceName,
         incarnation: u64,
         request: u64,
     ) -> KeptAnswer {
-        let own = self.settings.instance == *instance && self.incarnation() == incarnation;
-        if own { self.answers.answer(request) } else { KeptAnswer::Gone }
+        let is_this_run = self.settings.instance == *instance && self.incarnation() == incarnation;
+        if is_this_run { self.answers.answer(request) } else { KeptAnswer::Gone }
     }
 
-    /// Passes on leadership and the last records before the process ends.
+    /// Transfers leadership and sends the last report and records before the process ends.
     async fn stop(self: Rc<Self>) {
-        const PASS_ON_MS: u64 = 300;
-        self.core.borrow_mut().own.stopping = true;
+        const HANDOVER_MS: u64 = 300;
+        self.core.borrow_mut().own_record.stopping = true;
         self.report();
-        self.beat_urgently();
+        self.send_urgent_heartbeat();
         self.drive(|driver, now_ms| driver.replica.transfer_leadership(now_ms));
-        smol::Timer::after(std::time::Duration::from_millis(PASS_ON_MS)).await;
+        smol::Timer::after(std::time::Duration::from_millis(HANDOVER_MS)).await;
     }
 }
--- a/crates/peer/src/node/rollouts.rs
+++ b/crates/peer/src/node/rollouts.rs
@@ -8,22 +8,22 @@
 use lycheehub_dispatch::Dispatcher;
 use std::rc::Rc;
 
-/// How often the steps of rollouts are decided, in milliseconds.
-pub(super) const ROLLOUTS_MS: u64 = 200;
+/// Interval between decisions on rollout steps, in milliseconds.
+pub(super) const ROLLOUT_TICK_MS: u64 = 200;
 
 impl Node {
-    /// Compares versions, and takes the steps that are due.
-    pub(super) fn look_after_rollouts(self: &Rc<Self>) {
+    /// Compares the versions of services and proposes the rollout steps that are due.
+    pub(super) fn tick_rollouts(self: &Rc<Self>) {
         let now_unix_ms = self.clock.now_unix_ms();
         let steps = {
-            let mut placing = self.placing.borrow_mut();
-            let Some(placing) = placing.as_mut() else { return };
+            let mut dispatch = self.dispatch.borrow_mut();
+            let Some(dispatch) = dispatch.as_mut() else { return };
             let core = self.core.borrow();
-            let seen = observations(placing.dispatcher.take_samples());
-            placing.rollouts.observe(&core.state, &seen);
-            let dispatcher = &placing.dispatcher;
-            let versions = |record: &RolloutRecord| versions(&core, dispatcher, record);
-            placing.rollouts.tick(now_unix_ms, &core.state, versions)
+            let observed = observations(dispatch.dispatcher.take_samples());
+            dispatch.rollouts.observe(&core.state, &observed);
+            let dispatcher = &dispatch.dispatcher;
+            let capacity = |record: &RolloutRecord| capacity(&core, dispatcher, record);
+            dispatch.rollouts.tick(now_unix_ms, &core.state, capacity)
         };
         for step in steps {
             self.step_rollout(step);
@@ -47,8 +47,8 @@
     }
 }
 
-/// Returns what there is of the two versions of a service.
-fn versions(core: &Core, dispatcher: &Dispatcher, record: &RolloutRecord) -> VersionCapacity {
+/// Returns the slots of the new version and the running requests of the other versions.
+fn capacity(core: &Core, dispatcher: &Dispatcher, record: &RolloutRecord) -> VersionCapacity {
     let order = &record.order;
     let new = core.directory.live().filter(|endpoint| {
         endpoint.service == order.service && endpoint.version == order.target && !endpoint.leaving
--- a/crates/peer/src/rollouts.rs
+++ b/crates/peer/src/rollouts.rs
@@ -1,4 +1,4 @@
-//! Rollouts as dispatchers and their controller take them.
+//! Converts rollouts to dispatcher rules, and dispatcher samples to observations.
 
 use lycheehub_control::moves::{Observation, ObservationKey, Observations};
 use lycheehub_control::state::{RolloutRecord, RolloutState};
@@ -7,47 +7,48 @@
 use smol_str::format_smolstr;
 use std::collections::BTreeMap;
 
-/// All requests, in thousandths.
-const WHOLE_PERMILLE: u32 = 1_000;
+/// The share of all requests, in thousandths.
+const FULL_SHARE_PERMILLE: u32 = 1_000;
 
-/// Whether a dispatcher sees the requests of all instances, and so may compare versions.
+/// Whose requests a dispatcher handles. Versions are compared only if it handles all of them.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Sight {
-    /// It does: the leader's.
-    Whole,
-    /// It sees those of one instance: what it sends to a new version would be seen by nobody.
-    Part,
+pub(crate) enum TrafficScope {
+    /// The requests of all instances: the dispatcher of the leader.
+    AllInstances,
+    /// The requests of one instance: nothing evaluates the requests that it would send to a new
+    /// version, so it sends none while versions are compared.
+    OneInstance,
 }
 
-/// Returns the rules by which a dispatcher divides services between versions.
+/// Returns the rules by which a dispatcher splits the requests of services between versions.
 pub(crate) fn version_rules(
     rollouts: &BTreeMap<ServiceName, RolloutRecord>,
-    sight: Sight,
+    scope: TrafficScope,
 ) -> BTreeMap<ServiceName, VersionRule> {
     let rule = |(name, record): (&ServiceName, &RolloutRecord)| {
         let target = record.order.target.clone();
-        let mut barred = record.barred.clone();
+        let mut excluded_versions = record.barred.clone();
         let mode = match record.state {
             RolloutState::Running => {
-                let is_compared = record.share_permille < WHOLE_PERMILLE;
-                let is_kept_back = is_compared && sight == Sight::Part;
-                let share_permille = if is_kept_back { 0 } else { record.share_permille };
+                let is_compared = record.share_permille < FULL_SHARE_PERMILLE;
+                let withholds_target = is_compared && scope == TrafficScope::OneInstance;
+                let share_permille = if withholds_target { 0 } else { record.share_permille };
                 VersionMode::Split { target, share: f64::from(share_permille) / 1e3 }
             }
             RolloutState::Completed => {
                 VersionMode::Only { target, since_unix_ms: record.ended_unix_ms }
             }
             RolloutState::RolledBack => {
-                barred.push(target);
+                excluded_versions.push(target);
                 VersionMode::Any
             }
         };
-        (name.clone(), VersionRule { mode, excluded: barred })
+        (name.clone(), VersionRule { mode, excluded: excluded_versions })
     };
     rollouts.iter().map(rule).collect()
 }
 
-/// Sums samples up; requests of one rank count as one route.
+/// Sums samples into observations; the requests of a rank count as one route.
 pub(crate) fn observations(samples: Vec<VersionSample>) -> Observations {
     let mut observations = Observations::new();
     for sample in samples {
--- a/crates/peer/src/server.rs
+++ b/crates/peer/src/server.rs
@@ -3,8 +3,8 @@
 use crate::auth::{self, End};
 use crate::count::Counted;
 use crate::link::MESSAGE_MAX_WORDS;
-use crate::node::{Node, SessionKey, Told};
-use crate::watch::REVISION_BY_LOG;
+use crate::node::{Node, SessionKey, WatchPosition};
+use crate::watch::REVISION_FROM_LOG;
 use capnp::message::ReaderOptions;
 use capnp_rpc::{RpcSystem, new_client, rpc_twoparty_capnp::Side, twoparty::VatNetwork};
 use lycheehub_consensus::{Message, ReplicaId};
@@ -136,7 +136,7 @@
         mut results: peer::ProposeResults,
     ) -> Result<(), capnp::Error> {
         let command = params.get()?.get_command()?.to_vec();
-        let reply = self.node.propose_here(command).await;
+        let reply = self.node.propose_local(command).await;
         lycheehub_wire::write_propose_reply(&reply, results.get().init_reply());
         Ok(())
     }
@@ -147,7 +147,7 @@
         mut results: peer::ReadResults,
     ) -> Result<(), capnp::Error> {
         let revision = params.get()?.get_revision();
-        let feed = self.node.read_here(revision).await;
+        let feed = self.node.read_local(revision).await;
         results.get().set_confirmed(feed.is_some());
         results.get().set_feed(&feed.map(|feed| feed.encode()).unwrap_or_default());
         Ok(())
@@ -196,21 +196,21 @@
     ) -> Result<(), capnp::Error> {
         let params = params.get()?;
         let leader = text(params.get_leader())?;
-        let told = Told {
-            here: Heard { epoch: params.get_epoch(), change: params.get_change() },
+        let told = WatchPosition {
+            local: Heard { epoch: params.get_epoch(), change: params.get_change() },
             relayed: params.get_relayed(),
             heard: lycheehub_wire::read_heard(params.get_heard()?)?,
             revision: params.get_revision(),
             leader: (!leader.is_empty()).then(|| InstanceName::new(leader)),
         };
-        if told.revision != REVISION_BY_LOG {
+        if told.revision != REVISION_FROM_LOG {
             let sender = InstanceName::from(text(params.get_sender())?);
-            self.node.note_poll(&sender, told.revision);
+            self.node.record_poll(&sender, told.revision);
         }
-        let watched = self.node.watched(&told, u64::from(params.get_wait_ms())).await;
+        let watched = self.node.wait_for_changes(&told, u64::from(params.get_wait_ms())).await;
         let mut reply = results.get();
-        reply.set_epoch(watched.here.epoch);
-        reply.set_change(watched.here.change);
+        reply.set_epoch(watched.local.epoch);
+        reply.set_change(watched.local.change);
         reply.set_relayed(watched.relayed);
         reply.set_revision(watched.revision);
         reply.set_leader(watched.leader.as_ref().map_or("", InstanceName::as_str));
@@ -236,7 +236,7 @@
         let instance = InstanceName::from(text(params.get_instance())?);
         let in_flight = lycheehub_wire::read_in_flight(params.get_in_flight()?)?;
         let usage = lycheehub_wire::read_usage(params.get_usage()?)?;
-        let Some(session) = self.node.enter(instance, &in_flight, &usage) else {
+        let Some(session) = self.node.open_session(instance, &in_flight, &usage) else {
             return Err(not_leading());
         };
         let placement = PlacementServer { node: self.node.clone(), session };
@@ -253,7 +253,7 @@
 
 impl Drop for PlacementServer {
     fn drop(&mut self) {
-        self.node.leave(self.session);
+        self.node.close_session(self.session);
     }
 }
 
@@ -280,7 +280,7 @@
         let instances = self.node.finish(self.session, finished).ok_or_else(not_leading)?;
         results.get().set_instances(instances);
         if is_heartbeat {
-            let accounts = self.node.tight_accounts();
+            let accounts = self.node.accounts_near_quota();
             let mut tight = results.get().init_tight(accounts.len() as u32);
             for (place, account) in (0..).zip(&accounts) {
                 tight.set(place, account.as_str());
--- a/crates/peer/src/views.rs
+++ b/crates/peer/src/views.rs
@@ -1,10 +1,10 @@
-//! The newest views, shared between the control thread and the traffic threads.
+//! The latest view, shared between the control thread and the traffic threads.
 
 use lycheehub_control::View;
 use smol::channel::{Receiver, Sender, bounded};
 use std::sync::{Arc, Mutex, PoisonError};
 
-/// The newest [`View`], replaced whole.
+/// The latest [`View`], replaced as a whole.
 ///
 /// # Examples
 /// ```
@@ -24,12 +24,12 @@
 }
 
 impl Views {
-    /// Returns the newest view.
+    /// Returns the latest view.
     pub fn latest(&self) -> Arc<View> {
         self.latest.lock().unwrap_or_else(PoisonError::into_inner).clone()
     }
 
-    /// Replaces the view; a view of an older revision is not taken.
+    /// Replaces the view, unless the new view has an older revision.
     pub fn publish(&self, view: View) {
         let mut latest = self.latest.lock().unwrap_or_else(PoisonError::into_inner);
         if view.revision < latest.revision {
@@ -37,18 +37,18 @@
         }
         *latest = Arc::new(view);
         drop(latest);
-        // A full channel already tells that the view changed.
+        // If the channel is full, a change is already signalled.
         let _ = self.changed.0.try_send(());
     }
 
-    /// Waits until the view was replaced.
+    /// Waits until the view is replaced.
     pub async fn changed(&self) {
         // The channel cannot close while `self` holds its sender.
         let _ = self.changed.1.recv().await;
     }
 }
 
-/// The newest value of a kind, replaced whole.
+/// The latest value of a type, replaced as a whole.
 ///
 /// # Examples
 /// ```
@@ -63,12 +63,12 @@
 }
 
 impl<T> Latest<T> {
-    /// Begins with `value`.
+    /// Creates a cell that holds `value`.
     pub fn new(value: T) -> Self {
         Self { value: Mutex::new(Arc::new(value)), changed: bounded(1) }
     }
 
-    /// Returns the newest value.
+    /// Returns the latest value.
     pub fn get(&self) -> Arc<T> {
         self.value.lock().unwrap_or_else(PoisonError::into_inner).clone()
     }
@@ -76,11 +76,11 @@
     /// Replaces the value.
     pub fn publish(&self, value: T) {
         *self.value.lock().unwrap_or_else(PoisonError::into_inner) = Arc::new(value);
-        // A full channel already tells that the value changed.
+        // If the channel is full, a change is already signalled.
         let _ = self.changed.0.try_send(());
     }
 
-    /// Waits until the value was replaced; for one waiting task.
+    /// Waits until the value is replaced. Only one task may wait, as each change wakes one.
     pub async fn changed(&self) {
         // The channel cannot close while `self` holds its sender.
         let _ = self.changed.1.recv().await;
--- a/crates/peer/src/watch.rs
+++ b/crates/peer/src/watch.rs
@@ -1,4 +1,4 @@
-//! Watches the directory and the revision of a control replica.
+//! Watches the directory and the revision of a control replica by long polls.
 
 use crate::link::Links;
 use lycheehub_clock::Clock;
@@ -13,63 +13,64 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// How long a replica holds a question for changes, in milliseconds: short enough for a silent
-/// connection to be replaced well within the time in which changes must be in force.
-const WAIT_MS: u32 = 1_000;
-/// How long the answer may take besides, in milliseconds.
-const ANSWER_MS: u64 = 700;
-/// How long to wait before a replica that did not answer is asked again, in milliseconds.
-const ASK_AGAIN_MS: u64 = 150;
+/// How long a replica may hold a watch request, in milliseconds: short enough to replace an
+/// unresponsive connection well within the time in which changes must be in force.
+const LONG_POLL_MS: u32 = 1_000;
+/// Time allowed for a reply beyond the long poll, in milliseconds.
+const REPLY_MARGIN_MS: u64 = 700;
+/// Delay before a failed watch request is retried, in milliseconds.
+const RETRY_MS: u64 = 150;
 
-/// The revision that a replica says it has: it gets changes of the state by the log.
-pub(crate) const REVISION_BY_LOG: u64 = u64::MAX;
+/// The revision that a replica sends when it watches another one: it receives state changes through
+/// the log and needs none of them here.
+pub(crate) const REVISION_FROM_LOG: u64 = u64::MAX;
 
-/// What a replica tells of itself.
+/// An update from a watched replica.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct News {
-    /// How far it has told what it heard itself.
+pub(crate) struct WatchUpdate {
+    /// The position in its local changes that this update reaches.
     pub(crate) heard: Heard,
-    /// Endpoints of which it heard a change.
+    /// Endpoints changed by announcements at the replica.
     pub(crate) listings: Vec<Listing>,
-    /// Endpoints of which other replicas told it a change.
+    /// Endpoints whose changes the replica relays from other replicas.
     pub(crate) relays: Vec<Listing>,
-    /// The revision that the replica has.
+    /// The state revision of the replica.
     pub(crate) revision: u64,
     /// The leader that it follows.
     pub(crate) leader: Option<InstanceName>,
-    /// The replicas that it knows, with where they listen for peers.
+    /// The replicas that it knows, with their peer addresses.
     pub(crate) replicas: Vec<(InstanceName, SmolStr)>,
-    /// The replica was started again since it was heard last.
+    /// Whether the replica has restarted since its last reply.
     pub(crate) restarted: bool,
 }
 
-/// How far each replica that is watched has told what it heard itself.
-pub(crate) type HeardFrom = RefCell<BTreeMap<InstanceName, Heard>>;
+/// The position reached in the local changes of each watched replica.
+pub(crate) type ReplicaPositions = RefCell<BTreeMap<InstanceName, Heard>>;
 
-/// Whoever watches.
+/// Receives updates from watched replicas.
 pub(crate) trait Watcher {
-    /// Returns what replicas have told.
-    fn heard_from(&self) -> &HeardFrom;
-    /// Returns the revision that the watcher has or is about to have.
+    /// Returns the position reached in the local changes of each replica.
+    fn replica_positions(&self) -> &ReplicaPositions;
+    /// Returns the state revision that the watcher has or is already fetching.
     fn revision(&self) -> u64;
-    /// Returns where a replica listens for peers.
+    /// Returns the peer address of a replica.
     fn address_of(&self, peer: &InstanceName) -> Option<SmolStr>;
-    /// Takes what a replica told.
-    fn take(&self, from: &InstanceName, news: News);
-    /// Takes the news that a replica does not answer.
-    fn silent(&self, peer: &InstanceName);
+    /// Applies an update from a replica.
+    fn apply_update(&self, from: &InstanceName, update: WatchUpdate);
+    /// Marks a replica that does not reply as unreachable.
+    fn mark_unreachable(&self, peer: &InstanceName);
 }
 
-/// What a replica has told last, but for what it heard itself.
+/// What the last reply of a replica covered, apart from its local changes.
 #[derive(Clone, Debug, Default)]
 struct Cursor {
-    /// The number of its last change of which it has told what others told it.
+    /// The number of the last relayed change that it sent.
     relayed: u64,
     /// The leader that it follows.
     leader: Option<InstanceName>,
 }
 
-/// Watches a replica for ever.
+/// Watches a replica indefinitely.
 pub(crate) async fn watch(
     watcher: Rc<impl Watcher>,
     links: &Links,
@@ -77,81 +78,84 @@
     to: InstanceName,
 ) {
     let mut cursor = Cursor::default();
-    let mut heard_ms = clock.now_ms();
-    let mut in_touch = true;
+    let mut last_reply_ms = clock.now_ms();
+    let mut is_reachable = true;
     loop {
-        match ask(&*watcher, links, &to, &mut cursor).await {
-            Ok(news) => {
-                if !in_touch {
+        match poll(&*watcher, links, &to, &mut cursor).await {
+            Ok(update) => {
+                if !is_reachable {
                     spdlog::info!("replica heard again", kv: { replica: = to });
                 }
-                in_touch = true;
-                heard_ms = clock.now_ms();
-                watcher.take(&to, news);
+                is_reachable = true;
+                last_reply_ms = clock.now_ms();
+                watcher.apply_update(&to, update);
             }
             Err(error) => {
-                if in_touch {
+                if is_reachable {
                     spdlog::warn!("replica not heard", kv: { replica: = to, error: });
                 }
-                in_touch = false;
-                watcher.silent(&to);
-                if clock.now_ms() >= heard_ms + ORPHAN_MS {
-                    // What the replica watched over is forgotten by now and must be told anew.
+                is_reachable = false;
+                watcher.mark_unreachable(&to);
+                if clock.now_ms() >= last_reply_ms + ORPHAN_MS {
+                    // The endpoints whose leases the replica monitored have been removed by now, so
+                    // the replica must send all of them again.
                     cursor = Cursor::default();
-                    watcher.heard_from().borrow_mut().remove(&to);
+                    watcher.replica_positions().borrow_mut().remove(&to);
                 }
-                Timer::after(Duration::from_millis(ASK_AGAIN_MS)).await;
+                Timer::after(Duration::from_millis(RETRY_MS)).await;
             }
         }
     }
 }
 
-async fn ask(
+async fn poll(
     watcher: &impl Watcher,
     links: &Links,
     to: &InstanceName,
     cursor: &mut Cursor,
-) -> Result<News, PeerError> {
+) -> Result<WatchUpdate, PeerError> {
     const STEP: &str = "watch";
-    let heard = watcher.heard_from().borrow().clone();
-    let before = heard.get(to).copied().unwrap_or_default();
+    let heard = watcher.replica_positions().borrow().clone();
+    let position = heard.get(to).copied().unwrap_or_default();
     let sender = links.own_name();
-    let question = Question { sender, told: cursor, before, heard, revision: watcher.revision() };
-    let timeout_ms = u64::from(WAIT_MS) + ANSWER_MS;
-    let ask = |peer| ask_peer(peer, &question);
-    let (now, mut news) = links.call(STEP, to, watcher.address_of(to), timeout_ms, ask).await?;
-    news.restarted = before.epoch != 0 && before.epoch != news.heard.epoch;
-    watcher.heard_from().borrow_mut().insert(to.clone(), news.heard);
-    *cursor = now;
-    Ok(news)
+    let watch_request =
+        WatchRequest { sender, previous: cursor, position, heard, revision: watcher.revision() };
+    let timeout_ms = u64::from(LONG_POLL_MS) + REPLY_MARGIN_MS;
+    let poll = |peer| send_watch(peer, &watch_request);
+    let (next_cursor, mut update) =
+        links.call(STEP, to, watcher.address_of(to), timeout_ms, poll).await?;
+    update.restarted = position.epoch != 0 && position.epoch != update.heard.epoch;
+    watcher.replica_positions().borrow_mut().insert(to.clone(), update.heard);
+    *cursor = next_cursor;
+    Ok(update)
 }
 
-/// What a replica is asked.
-struct Question<'a> {
+/// The parameters of a watch request.
+struct WatchRequest<'a> {
     sender: &'a str,
-    told: &'a Cursor,
-    /// How far this replica has told what it heard itself.
-    before: Heard,
-    /// How far all replicas have.
+    previous: &'a Cursor,
+    /// The position reached in this replica's local changes.
+    position: Heard,
+    /// The position reached in each replica's local changes.
     heard: BTreeMap<InstanceName, Heard>,
     revision: u64,
 }
 
-async fn ask_peer(
+async fn send_watch(
     peer: peer::Client,
-    question: &Question<'_>,
-) -> Result<(Cursor, News), capnp::Error> {
+    watch_request: &WatchRequest<'_>,
+) -> Result<(Cursor, WatchUpdate), capnp::Error> {
     let mut request = peer.watch_request();
     let mut params = request.get();
-    let told = question.told;
-    params.set_sender(question.sender);
-    params.set_epoch(question.before.epoch);
-    params.set_change(question.before.change);
-    params.set_relayed(told.relayed);
-    params.set_revision(question.revision);
-    params.set_wait_ms(WAIT_MS);
-    params.set_leader(told.leader.as_ref().map_or("", InstanceName::as_str));
-    write_heard(&question.heard, params.init_heard(question.heard.len() as u32));
+    let previous = watch_request.previous;
+    params.set_sender(watch_request.sender);
+    params.set_epoch(watch_request.position.epoch);
+    params.set_change(watch_request.position.change);
+    params.set_relayed(previous.relayed);
+    params.set_revision(watch_request.revision);
+    params.set_wait_ms(LONG_POLL_MS);
+    params.set_leader(previous.leader.as_ref().map_or("", InstanceName::as_str));
+    write_heard(&watch_request.heard, params.init_heard(watch_request.heard.len() as u32));
     let reply = request.send().promise.await?;
     let reply = reply.get()?;
     let text = |text: capnp::Result<capnp::text::Reader<'_>>| -> Result<SmolStr, WireError> {
@@ -163,7 +167,7 @@
         replicas.push((name, text(replica.get_address())?));
     }
     let leader = text(reply.get_leader())?;
-    let news = News {
+    let update = WatchUpdate {
         heard: Heard { epoch: reply.get_epoch(), change: reply.get_change() },
         listings: read_listings(reply.get_listings()?)?,
         relays: read_listings(reply.get_relays()?)?,
@@ -172,5 +176,5 @@
         replicas,
         restarted: false,
     };
-    Ok((Cursor { relayed: reply.get_relayed(), leader: news.leader.clone() }, news))
+    Ok((Cursor { relayed: reply.get_relayed(), leader: update.leader.clone() }, update))
 }
--- a/crates/peer/tests/peer/main.rs
+++ b/crates/peer/tests/peer/main.rs
@@ -1,3 +1,3 @@
-//! Tests of the parts of this crate that decide without a connection.
+//! Tests of the parts of this crate that need no connection.
 
 mod pause;
