--- a/crates/peer/src/node/mod.rs
+++ b/crates/peer/src/node/mod.rs
@@ -1,14 +1,14 @@
 //! The control thread: the registry, the replica or a state copied from one, and the controllers.
 
+mod bootstrap;
 mod calls;
 mod census;
 mod directory;
+mod dispatch;
 mod driver;
 mod follow;
-mod founding;
 mod gossip;
 mod membership;
-mod placing;
 mod propose;
 mod publish;
 mod report;
@@ -22,6 +22,8 @@
 use crate::views::Views;
 use crate::watch::ReplicaPositions;
 pub(crate) use directory::WatchPosition;
+use dispatch::LeaderDispatch;
+pub(crate) use dispatch::SessionKey;
 use driver::Driver;
 use lycheehub_clock::{Clock, Timers};
 use lycheehub_consensus::Replica;
@@ -35,8 +37,6 @@
 use lycheehub_route::Demands;
 use lycheehub_types::{EndpointName, InstanceName, InstanceRecord};
 use lycheehub_wire::ProposeReply;
-use placing::LeaderDispatch;
-pub(crate) use placing::SessionKey;
 use smol::LocalExecutor;
 use smol::channel::{Receiver, Sender};
 use smol::net::TcpListener;
@@ -241,8 +241,8 @@
             self.run_every(CONTROLLER_TICK_MS, Self::run_controllers);
         } else {
             self.run_every(directory::DIRECTORY_TICK_MS, Self::tick_directory);
-            self.run_every(placing::DISPATCH_TICK_MS, Self::tick_dispatch);
-            self.run_every(placing::DISPATCH_TICK_MS, |node| node.announce_leader_change());
+            self.run_every(dispatch::DISPATCH_TICK_MS, Self::tick_dispatch);
+            self.run_every(dispatch::DISPATCH_TICK_MS, |node| node.announce_leader_change());
             self.run_every(rollouts::ROLLOUT_TICK_MS, Self::tick_rollouts);
         }
         if self.core.borrow().driver.is_some() {
