--- a/crates/peer/src/node/directory.rs
+++ b/crates/peer/src/node/directory.rs
@@ -142,11 +142,12 @@
         }
         let core = self.core.borrow();
         let epoch = core.own_record.incarnation;
-        let known = if epoch == position.local.epoch { position.local.change } else { 0 };
-        let own = core.directory.local_changes_after(known, batching::MAX_CHANGES_PER_REPLY);
+        let known_change = if epoch == position.local.epoch { position.local.change } else { 0 };
+        let local_changes =
+            core.directory.local_changes_after(known_change, batching::MAX_CHANGES_PER_REPLY);
         WatchReply {
-            local: Heard { epoch, change: own.up_to },
-            listings: own.listings,
+            local: Heard { epoch, change: local_changes.up_to },
+            listings: local_changes.listings,
             relayed: relays.up_to,
             relays: relays.listings,
             revision: core.recent_revision(self.clock.now_ms()),
--- a/crates/peer/src/node/report.rs
+++ b/crates/peer/src/node/report.rs
@@ -46,7 +46,7 @@
 
     async fn send_report(self: Rc<Self>, leader: InstanceName, report: Report) {
         let sent_ms = self.clock.now_ms();
-        let unsent = report.clone();
+        let report_copy = report.clone();
         let reply = if leader == self.settings.instance {
             Ok(self.on_report(report))
         } else {
@@ -60,15 +60,15 @@
         };
         match reply {
             Ok(reply) if reply.taken => self.apply_grants(sent_ms, reply),
-            Ok(_) => self.requeue_report(unsent),
+            Ok(_) => self.requeue_report(report_copy),
             Err(error) => {
                 spdlog::debug!("report lost", kv: { error: });
-                self.requeue_report(unsent);
+                self.requeue_report(report_copy);
             }
         }
     }
 
-    /// Adds observations that the leader did not accept to the next report, and looks for the
+    /// Adds observations that the leader did not acknowledge to the next report, and looks for the
     /// leader.
     fn requeue_report(self: &Rc<Self>, report: Report) {
         {
@@ -81,8 +81,8 @@
         self.find_leader();
     }
 
-    /// Finds the leader by a read, which updates the leader hint; used when the likely leader is
-    /// unknown or did not accept a report.
+    /// Finds the leader by a read, which sets the leader hint. An instance whose replica follows no
+    /// leader, or that has no replica, knows the leader only from this hint.
     fn find_leader(self: &Rc<Self>) {
         let node = self.clone();
         let task = async move {
