--- a/crates/cli/src/roles/control.rs
+++ b/crates/cli/src/roles/control.rs
@@ -5,8 +5,8 @@
 use crate::exit::{Code, Error};
 use crate::serve::listen;
 use lycheehub_clock::{Clock, TimerService};
-use lycheehub_gateway::answers::KeptAnswers;
 use lycheehub_gateway::orders::OrderSender;
+use lycheehub_gateway::responses::ResponseStore;
 use lycheehub_peer::{Control, ControlRequest, Node, Outside, Views};
 use lycheehub_platform::calls;
 use lycheehub_platform::settings::Deployment;
@@ -61,7 +61,7 @@
         let clock = Clock::new();
         let timers = Arc::new(TimerService::new(clock));
         let outside = Outside {
-            answers: Arc::new(KeptAnswers::new(clock, 0, 0)),
+            answers: Arc::new(ResponseStore::new(clock, 0, 0)),
             orders: Arc::new(OrderSender::new(clock, Arc::new(Executor::new()))),
         };
         let seed = rand::rng().next_u64();
--- a/crates/cli/src/serve/wire_up.rs
+++ b/crates/cli/src/serve/wire_up.rs
@@ -3,10 +3,10 @@
 use crate::exit::{Code, Error};
 use crate::settings::Loaded;
 use lycheehub_clock::{Clock, TimerService};
-use lycheehub_gateway::answers::KeptAnswers;
-use lycheehub_gateway::dispatcher::Dispatcher;
 use lycheehub_gateway::orders::OrderSender;
-use lycheehub_gateway::serve::Pool;
+use lycheehub_gateway::responses::ResponseStore;
+use lycheehub_gateway::scheduler::SharedScheduler;
+use lycheehub_gateway::serve::ConnectionPool;
 use lycheehub_gateway::{Gateway, http};
 use lycheehub_peer::{Control, ControlRequest, Node, Outside, Settings as PeerSettings, Views};
 use lycheehub_route::Scheduler;
@@ -41,7 +41,7 @@
     let views = Views::default();
     let limits = &loaded.gateway;
     let answers =
-        Arc::new(KeptAnswers::new(clock, limits.answer_retention_ms, limits.answers_max_bytes));
+        Arc::new(ResponseStore::new(clock, limits.answer_retention_ms, limits.answers_max_bytes));
     let (sender, requests) = unbounded();
     let parts = ControlParts {
         settings: loaded.peer,
@@ -62,16 +62,16 @@
         clock,
         views,
         control: Control::new(sender),
-        dispatcher: Dispatcher::new(clock, scheduler),
-        answers,
-        pool: Pool::default(),
+        scheduler: SharedScheduler::new(clock, scheduler),
+        responses: answers,
+        pool: ConnectionPool::default(),
         metrics: start_metrics()?,
         executor,
         incarnation,
-        requests: AtomicU64::new(0),
+        last_request_number: AtomicU64::new(0),
         connections: AtomicUsize::new(0),
         exchanges: AtomicUsize::new(0),
-        background: AtomicUsize::new(0),
+        request_tasks: AtomicUsize::new(0),
         draining: AtomicBool::new(false),
         stopping: AtomicBool::new(false),
     });
--- a/crates/gateway/src/filters/classify.rs
+++ b/crates/gateway/src/filters/classify.rs
@@ -1,4 +1,4 @@
-//! Finds the service, route, tier, size and deadline of a request.
+//! Determines the service, route, tier, size and deadline of a request.
 
 use super::{Exchange, Filter, Payload};
 use crate::Gateway;
@@ -12,16 +12,16 @@
 use serde_json::value::RawValue;
 use sha2::{Digest, Sha256};
 
-/// The tokens of a generation that names no bound.
+/// The assumed maximum number of tokens of a generation that sets none.
 const DEFAULT_MAX_TOKENS: u64 = 512;
-/// The bytes of text that a token stands for.
+/// The assumed number of prompt bytes per token.
 const BYTES_PER_TOKEN: u64 = 4;
-/// The longest idempotency key, in bytes.
+/// The maximum length of an idempotency key, in bytes.
 const IDEMPOTENCY_KEY_MAX_BYTES: usize = 128;
-/// The path before a plain service's name.
-const SERVICES: &str = "/v1/services/";
+/// The path prefix of requests to plain services.
+const PLAIN_SERVICE_PREFIX: &str = "/v1/services/";
 
-/// Finds the service, route, tier, size and deadline of a request.
+/// Determines the service, route, tier, size and deadline of a request.
 pub(super) struct Classify;
 
 #[derive(Deserialize)]
@@ -45,64 +45,66 @@
     fn apply(&self, gateway: &Gateway, exchange: &mut Exchange) -> Result<(), Refusal> {
         check_idempotency_key(exchange)?;
         let view = gateway.views.latest();
-        let payload = if exchange.path.starts_with(SERVICES) {
-            plain(&view, exchange)?
+        let payload = if exchange.path.starts_with(PLAIN_SERVICE_PREFIX) {
+            classify_plain(&view, exchange)?
         } else {
-            generation(&view, exchange)?
+            classify_generation(&view, exchange)?
         };
         exchange.payload = Some(payload);
         Ok(())
     }
 }
 
-fn bad(message: impl Into<smol_str::SmolStr>) -> Refusal {
+fn bad_request(message: impl Into<smol_str::SmolStr>) -> Refusal {
     Refusal::new(RefusalKind::BadRequest, message)
 }
 
 fn check_idempotency_key(exchange: &Exchange) -> Result<(), Refusal> {
     let Some(key) = &exchange.idempotency_key else { return Ok(()) };
     if key.is_empty() || key.len() > IDEMPOTENCY_KEY_MAX_BYTES {
-        return Err(bad(format!("an idempotency key has 1 to {IDEMPOTENCY_KEY_MAX_BYTES} bytes")));
+        return Err(bad_request(format!(
+            "an idempotency key has 1 to {IDEMPOTENCY_KEY_MAX_BYTES} bytes"
+        )));
     }
     Ok(())
 }
 
-fn service<'a>(
+fn find_service<'a>(
     view: &'a View,
-    named: &ServiceName,
+    name: &ServiceName,
     kind: EndpointKind,
 ) -> Result<&'a Service, Refusal> {
-    let service = view.estate.services.get(named).filter(|service| service.kind == kind);
+    let service = view.estate.services.get(name).filter(|service| service.kind == kind);
     service.ok_or_else(|| {
         Refusal::new(
             RefusalKind::UnknownService,
-            format!("no service is named {named:?}", named = named.as_str()),
+            format!("no service is named {named:?}", named = name.as_str()),
         )
     })
 }
 
-fn generation(view: &View, exchange: &Exchange) -> Result<Payload, Refusal> {
+fn classify_generation(view: &View, exchange: &Exchange) -> Result<Payload, Refusal> {
     if exchange.method != Method::Post {
-        return Err(bad("expected a POST"));
+        return Err(bad_request("expected a POST"));
     }
     let body: Generation<'_> = serde_json::from_slice(&exchange.body)
-        .map_err(|error| bad(format!("the body is not the expected JSON: {error}")))?;
+        .map_err(|error| bad_request(format!("the body is not the expected JSON: {error}")))?;
     let prompt = body.messages.or(body.prompt).map(RawValue::get);
-    let prompt = prompt.ok_or_else(|| bad("expected messages or a prompt"))?;
+    let prompt = prompt.ok_or_else(|| bad_request("expected messages or a prompt"))?;
     if !name::is_valid(&body.model) {
-        return Err(bad("the model's name is no name of a service"));
+        return Err(bad_request("the model's name is no name of a service"));
     }
-    let named = ServiceName::from(body.model);
-    let service = service(view, &named, EndpointKind::Engine)?;
+    let service_name = ServiceName::from(body.model);
+    let service = find_service(view, &service_name, EndpointKind::Engine)?;
     let max_tokens = body.max_tokens.unwrap_or(DEFAULT_MAX_TOKENS);
     let route = if exchange.path.starts_with("/v1/chat") { "chat" } else { "completions" };
     let job = Job {
-        service: named,
+        service: service_name,
         route: Route::from(route),
         prompt_tokens: prompt.len() as u64 / BYTES_PER_TOKEN,
         max_tokens,
         prefix: block_digests(prompt.as_bytes()),
-        ..job(exchange, service)?
+        ..base_job(exchange, service)?
     };
     Ok(Payload {
         job,
@@ -114,40 +116,43 @@
     })
 }
 
-fn plain(view: &View, exchange: &Exchange) -> Result<Payload, Refusal> {
-    let rest = &exchange.path[SERVICES.len()..];
-    let (named, path) = rest.split_once('/').unwrap_or((rest, ""));
-    let named = ServiceName::from(named);
-    let service = service(view, &named, EndpointKind::Plain)?;
+fn classify_plain(view: &View, exchange: &Exchange) -> Result<Payload, Refusal> {
+    let rest = &exchange.path[PLAIN_SERVICE_PREFIX.len()..];
+    let (service_name, path) = rest.split_once('/').unwrap_or((rest, ""));
+    let service_name = ServiceName::from(service_name);
+    let service = find_service(view, &service_name, EndpointKind::Plain)?;
     let first = path.split(['/', '?']).next().unwrap_or("");
     let job = Job {
-        service: named,
+        service: service_name,
         route: Route::from(format!("{} /{first}", exchange.method)),
-        ..job(exchange, service)?
+        ..base_job(exchange, service)?
     };
-    let safe = matches!(exchange.method, Method::Get | Method::Head);
+    let is_safe = matches!(exchange.method, Method::Get | Method::Head);
     Ok(Payload {
         job,
         kind: EndpointKind::Plain,
         path: format!("/{path}"),
         stream: false,
-        idempotent: safe || service.idempotent,
+        idempotent: is_safe || service.idempotent,
         fingerprint: fingerprint(exchange),
     })
 }
 
-/// Makes a job of what all kinds of requests have.
-fn job(exchange: &Exchange, service: &Service) -> Result<Job, Refusal> {
-    let allowed = exchange.caller.tier.unwrap_or(Tier::LOWEST);
-    let tier = match &exchange.tier_asked {
-        Some(asked) => {
-            let rank = asked.parse().map_err(|_| bad("x-tier is no number from 0 to 4"))?;
-            Tier::new(rank).min(allowed)
+/// Creates a job with the properties common to both kinds of requests.
+fn base_job(exchange: &Exchange, service: &Service) -> Result<Job, Refusal> {
+    let highest_tier = exchange.caller.tier.unwrap_or(Tier::LOWEST);
+    let tier = match &exchange.requested_tier {
+        Some(requested) => {
+            let rank =
+                requested.parse().map_err(|_| bad_request("x-tier is no number from 0 to 4"))?;
+            Tier::new(rank).min(highest_tier)
         }
-        None => allowed,
+        None => highest_tier,
     };
-    let deadline_ms = match &exchange.deadline_asked {
-        Some(asked) => asked.parse().map_err(|_| bad("x-deadline-ms is no number"))?,
+    let deadline_ms = match &exchange.requested_deadline {
+        Some(requested) => {
+            requested.parse().map_err(|_| bad_request("x-deadline-ms is no number"))?
+        }
         None => service.deadline_ms,
     };
     Ok(Job {
@@ -163,7 +168,7 @@
     })
 }
 
-/// Returns a digest of all that makes a request the same as another.
+/// Returns a digest of the method, path and body, which are equal in a request and its resend.
 fn fingerprint(exchange: &Exchange) -> u64 {
     let mut hash = Sha256::new();
     hash.update(exchange.method.as_ref());
--- a/crates/gateway/src/filters/exchange.rs
+++ b/crates/gateway/src/filters/exchange.rs
@@ -1,86 +1,87 @@
-//! A request on its way through the filters.
+//! A caller's request, as the filters complete it.
 
 use crate::Gateway;
-use crate::http::{bearer, header};
+use crate::http::{bearer_key, header};
 use http_types::{Method, Request};
 use lycheehub_route::Job;
 use lycheehub_types::{AccountName, EndpointKind, Tier};
 use smol_str::SmolStr;
 
-/// What is known of the account that sent a request.
+/// The client account that sent a request.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Caller {
-    /// The account.
+    /// The name of the account.
     pub account: AccountName,
-    /// The highest tier that it may use.
+    /// The highest tier that the account may use.
     pub tier: Option<Tier>,
-    /// Its weight against others of its tier.
+    /// The weight of the account among the accounts of its tier.
     pub weight: u32,
 }
 
-/// What an endpoint is sent.
+/// The request to send to an endpoint.
 #[derive(Clone, Debug)]
 pub struct Payload {
     /// The job for the scheduler.
     pub job: Job,
-    /// Whether model engines or plain services serve it.
+    /// Whether a model engine or a plain service runs the request.
     pub kind: EndpointKind,
-    /// The path at the endpoint, with its query.
+    /// The path at the endpoint, with the query.
     pub path: String,
-    /// The answer is a stream of server-sent events.
+    /// Whether the response is a stream of server-sent events.
     pub stream: bool,
-    /// The request may run again where it did not finish.
+    /// Whether the request may run more than once.
     pub idempotent: bool,
-    /// A digest of the request, by which a key used for another request is known.
+    /// A digest of the request, which detects that an idempotency key is reused for another
+    /// request.
     pub fingerprint: u64,
 }
 
-/// A request on its way through the filters.
+/// A caller's request, as the filters complete it.
 #[derive(Clone, Debug)]
 pub struct Exchange {
-    /// The request's number on this instance.
-    pub request: u64,
-    /// When it came, in milliseconds by the local clock.
+    /// The number of the request on this instance.
+    pub request_number: u64,
+    /// When the request arrived, in milliseconds by the local clock.
     pub arrived_ms: u64,
-    /// The method.
+    /// The HTTP method.
     pub method: Method,
-    /// The path, with its query.
+    /// The path, with the query.
     pub path: String,
     /// The body.
     pub body: Vec<u8>,
     /// The body's content type.
     pub content_type: Option<SmolStr>,
-    /// The account's key.
-    pub key: Option<String>,
+    /// The bearer key of the client account.
+    pub api_key: Option<String>,
     /// The idempotency key.
     pub idempotency_key: Option<SmolStr>,
-    /// The tier that the caller asks for.
-    pub tier_asked: Option<SmolStr>,
-    /// The time that the caller gives, in milliseconds.
-    pub deadline_asked: Option<SmolStr>,
-    /// Who sent it; set by a filter.
+    /// The value of the `X-Tier` header.
+    pub requested_tier: Option<SmolStr>,
+    /// The value of the `X-Deadline-Ms` header.
+    pub requested_deadline: Option<SmolStr>,
+    /// The client account; set by a filter.
     pub caller: Caller,
-    /// What an endpoint is sent; set by a filter.
+    /// The request to send to an endpoint; set by a filter.
     pub payload: Option<Payload>,
 }
 
 impl Exchange {
-    /// Makes an exchange from the head of a caller's request.
+    /// Creates an exchange from the head of a caller's request.
     pub fn new(gateway: &Gateway, request: &Request) -> Self {
-        let text = |name| header(request, name).map(SmolStr::new);
+        let header_value = |name| header(request, name).map(SmolStr::new);
         let url = request.url();
         let query = url.query().map(|query| format!("?{query}")).unwrap_or_default();
         Self {
-            request: gateway.next_request(),
+            request_number: gateway.next_request_number(),
             arrived_ms: gateway.clock.now_ms(),
             method: request.method(),
             path: format!("{}{query}", url.path()),
             body: Vec::new(),
-            content_type: text("content-type"),
-            key: bearer(request).map(str::to_owned),
-            idempotency_key: text("idempotency-key"),
-            tier_asked: text("x-tier"),
-            deadline_asked: text("x-deadline-ms"),
+            content_type: header_value("content-type"),
+            api_key: bearer_key(request).map(str::to_owned),
+            idempotency_key: header_value("idempotency-key"),
+            requested_tier: header_value("x-tier"),
+            requested_deadline: header_value("x-deadline-ms"),
             caller: Caller::default(),
             payload: None,
         }
--- a/crates/gateway/src/filters/mod.rs
+++ b/crates/gateway/src/filters/mod.rs
@@ -1,4 +1,4 @@
-//! The chain of filters that a caller's request passes.
+//! The filter chain of callers' requests.
 
 mod classify;
 mod exchange;
@@ -12,39 +12,39 @@
 use http_types::{Request, Response};
 use lycheehub_types::Refusal;
 
-/// A step that looks at a request and may refuse it.
+/// A filter, which inspects a request and may refuse it.
 pub trait Filter: Send + Sync {
-    /// Returns the name of the step, for logs.
+    /// Returns the name of the filter, for logs.
     fn name(&self) -> &'static str;
 
-    /// Looks at the request and adds what it finds.
+    /// Inspects the request and adds its findings to the exchange.
     ///
     /// # Errors
-    /// Refuses the request.
+    /// Returns the refusal if the request may not pass.
     fn apply(&self, gateway: &Gateway, exchange: &mut Exchange) -> Result<(), Refusal>;
 }
 
-/// The filters in their order.
+/// The filters, in the order in which they run.
 const CHAIN: [&dyn Filter; 3] = [&ready::Ready, &identify::Identify, &classify::Classify];
 
-/// Tells whether callers' requests come under this path.
-pub fn takes(path: &str) -> bool {
+/// Returns whether `path` is one for callers' requests.
+pub fn matches_path(path: &str) -> bool {
     matches!(path, "/v1/chat/completions" | "/v1/completions") || path.starts_with("/v1/services/")
 }
 
-/// A refusal with the step that refused.
+/// A refusal and the name of the step that refused.
 #[derive(Debug)]
-pub struct Refused {
+pub struct Rejection {
     step: &'static str,
     refusal: Refusal,
 }
 
-impl Refused {
-    /// Returns the response to a request that is refused.
+impl Rejection {
+    /// Logs and counts the refusal and returns its response.
     pub fn response(&self, exchange: &Exchange) -> Response {
         let code = self.refusal.kind().code();
         spdlog::info!("refused", kv: {
-            request = exchange.request,
+            request = exchange.request_number,
             step = self.step,
             code,
             message = self.refusal.message(),
@@ -57,25 +57,25 @@
 /// Reads the body of a caller's request.
 ///
 /// # Errors
-/// Fails where it is too large or does not come.
-pub async fn read(
+/// Fails if the body is too large, truncated or does not arrive in time.
+pub async fn read_request_body(
     gateway: &Gateway,
     request: &mut Request,
     exchange: &mut Exchange,
-) -> Result<(), Refused> {
+) -> Result<(), Rejection> {
     let body = read_body(gateway, request).await;
-    exchange.body = body.map_err(|refusal| Refused { step: "read", refusal })?;
+    exchange.body = body.map_err(|refusal| Rejection { step: "read", refusal })?;
     Ok(())
 }
 
-/// Passes a request through the chain.
+/// Applies all filters to a request.
 ///
 /// # Errors
-/// Fails with the first refusal.
-pub fn pass(gateway: &Gateway, exchange: &mut Exchange) -> Result<(), Refused> {
+/// Returns the first refusal.
+pub fn apply_all(gateway: &Gateway, exchange: &mut Exchange) -> Result<(), Rejection> {
     for filter in CHAIN {
-        let passed = filter.apply(gateway, exchange);
-        passed.map_err(|refusal| Refused { step: filter.name(), refusal })?;
+        let result = filter.apply(gateway, exchange);
+        result.map_err(|refusal| Rejection { step: filter.name(), refusal })?;
     }
     Ok(())
 }
--- a/crates/gateway/src/filters/ready.rs
+++ b/crates/gateway/src/filters/ready.rs
@@ -1,13 +1,13 @@
-//! Refuses requests while the instance may not serve.
+//! Refuses requests while the instance is not ready to serve.
 
 use super::{Exchange, Filter};
 use crate::Gateway;
 use lycheehub_types::{Refusal, RefusalKind};
 
-/// The time after which a caller is asked to come back, in milliseconds.
-const RETRY_MS: u64 = 1_000;
+/// The `Retry-After` of a refusal, in milliseconds.
+const RETRY_AFTER_MS: u64 = 1_000;
 
-/// Refuses requests of a stopping instance, and of one whose configuration is not confirmed yet.
+/// Refuses requests while the instance is stopping or has not yet confirmed its configuration.
 pub(super) struct Ready;
 
 impl Filter for Ready {
@@ -18,11 +18,11 @@
     fn apply(&self, gateway: &Gateway, _: &mut Exchange) -> Result<(), Refusal> {
         if gateway.is_stopping() {
             let message = "this instance is shutting down";
-            return Err(Refusal::retry(RefusalKind::Stopping, message, RETRY_MS));
+            return Err(Refusal::retry(RefusalKind::Stopping, message, RETRY_AFTER_MS));
         }
         if !gateway.views.latest().ready {
             let message = "this instance has not yet confirmed its configuration";
-            return Err(Refusal::retry(RefusalKind::NoQuorum, message, RETRY_MS));
+            return Err(Refusal::retry(RefusalKind::NoQuorum, message, RETRY_AFTER_MS));
         }
         Ok(())
     }
--- a/crates/gateway/src/gateway.rs
+++ b/crates/gateway/src/gateway.rs
@@ -1,8 +1,8 @@
-//! What all requests of an instance share.
+//! State shared by all requests of an instance.
 
-use crate::answers::KeptAnswers;
-use crate::dispatcher::Dispatcher;
-use crate::serve::Pool;
+use crate::responses::ResponseStore;
+use crate::scheduler::SharedScheduler;
+use crate::serve::ConnectionPool;
 use crate::settings::Settings;
 use lycheehub_clock::{Clock, Timers};
 use lycheehub_peer::{Control, Views};
@@ -11,88 +11,91 @@
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, AtomicU64, AtomicUsize, Ordering};
 
-/// How often demands are passed to the control thread, in milliseconds.
-const DEMANDS_MS: u64 = 100;
-/// How often the scheduler's time is moved on, in milliseconds.
-const TICK_MS: u64 = 100;
+/// The interval at which slot demands are reported to the control thread, in milliseconds.
+const DEMANDS_INTERVAL_MS: u64 = 100;
+/// The interval of the scheduler's ticks, in milliseconds.
+const TICK_INTERVAL_MS: u64 = 100;
 
-/// What all requests of an instance share.
+/// State shared by all requests of an instance.
 pub struct Gateway {
     /// Limits and keys.
     pub settings: Settings,
-    /// The clock.
+    /// The clock of this instance.
     pub clock: Clock,
     /// The newest view of the control state.
     pub views: Views,
-    /// The way to the control thread.
+    /// Sends commands and queries to the control thread.
     pub control: Control,
-    /// The scheduler.
-    pub dispatcher: Arc<Dispatcher>,
-    /// The answers kept for resends.
-    pub answers: Arc<KeptAnswers>,
+    /// The scheduler of this instance.
+    pub scheduler: Arc<SharedScheduler>,
+    /// The responses kept for resends.
+    pub responses: Arc<ResponseStore>,
     /// Idle connections to endpoints.
-    pub pool: Pool,
-    /// Renders the metrics.
+    pub pool: ConnectionPool,
+    /// Renders the metrics in the Prometheus text format.
     pub metrics: PrometheusHandle,
-    /// Runs requests.
+    /// Runs the tasks of connections and requests.
     pub executor: Arc<Executor<'static>>,
-    /// This run's number, which grows with each start.
+    /// The incarnation of this process, which grows with each start.
     pub incarnation: u64,
-    /// Counts requests.
-    pub requests: AtomicU64,
-    /// Counts open connections.
+    /// The number of the newest caller's request.
+    pub last_request_number: AtomicU64,
+    /// The number of open connections.
     pub connections: AtomicUsize,
-    /// Counts requests that are being answered.
+    /// The number of HTTP exchanges whose head has arrived and whose response is not yet written.
     pub exchanges: AtomicUsize,
-    /// Counts requests that run on after their caller left.
-    pub background: AtomicUsize,
-    /// The balancer is to send nothing more, but what comes is still taken.
+    /// The number of callers' requests that run, including those whose caller has disconnected.
+    pub request_tasks: AtomicUsize,
+    /// The instance reports that it is not ready, so that load balancers stop sending to it, but
+    /// still accepts requests.
     pub draining: AtomicBool,
-    /// The instance is shutting down and takes no new requests.
+    /// The instance is shutting down and refuses new requests.
     pub stopping: AtomicBool,
 }
 
 impl Gateway {
-    /// Tells whether the instance is shutting down.
+    /// Returns whether the instance is shutting down.
     pub fn is_stopping(&self) -> bool {
         self.stopping.load(Ordering::Relaxed)
     }
 
-    /// Returns the next request's number.
-    pub fn next_request(&self) -> u64 {
-        self.requests.fetch_add(1, Ordering::Relaxed) + 1
+    /// Allocates the number of the next caller's request.
+    pub fn next_request_number(&self) -> u64 {
+        self.last_request_number.fetch_add(1, Ordering::Relaxed) + 1
     }
 
-    /// Returns how many requests are not yet answered or still run.
+    /// Returns the sum of open exchanges and running request tasks; it is zero only when no request
+    /// is left. A request whose caller is connected counts twice.
     pub fn unfinished(&self) -> usize {
-        self.exchanges.load(Ordering::Relaxed) + self.background.load(Ordering::Relaxed)
+        self.exchanges.load(Ordering::Relaxed) + self.request_tasks.load(Ordering::Relaxed)
     }
 
-    /// Passes views to the scheduler and its demands back, until the gateway is dropped.
+    /// Spawns the tasks that pass new views to the scheduler, tick it, and report its demands to
+    /// the control thread.
     pub fn start(self: &Arc<Self>, timers: &dyn Timers) {
         let gateway = self.clone();
-        let follow = async move {
+        let watch_views = async move {
             loop {
-                gateway.dispatcher.update(&gateway.views.latest());
+                gateway.scheduler.update(&gateway.views.latest());
                 gateway.views.changed().await;
             }
         };
-        self.executor.spawn(follow).detach();
-        let ticks = timers.subscribe(TICK_MS);
+        self.executor.spawn(watch_views).detach();
+        let ticks = timers.subscribe(TICK_INTERVAL_MS);
         let gateway = self.clone();
         let tick = async move {
             while ticks.recv().await.is_ok() {
-                gateway.dispatcher.tick();
+                gateway.scheduler.tick();
             }
         };
         self.executor.spawn(tick).detach();
-        let ticks = timers.subscribe(DEMANDS_MS);
+        let ticks = timers.subscribe(DEMANDS_INTERVAL_MS);
         let gateway = self.clone();
-        let report = async move {
+        let report_demands = async move {
             while ticks.recv().await.is_ok() {
-                gateway.control.report(gateway.dispatcher.demands()).await;
+                gateway.control.report(gateway.scheduler.demands()).await;
             }
         };
-        self.executor.spawn(report).detach();
+        self.executor.spawn(report_demands).detach();
     }
 }
--- a/crates/gateway/src/http/connection.rs
+++ b/crates/gateway/src/http/connection.rs
@@ -1,4 +1,4 @@
-//! Connections: accepted up to a bound, each with a time for the request's head.
+//! Accepts connections up to a limit, each with a timeout for the head of a request.
 
 use super::routes;
 use crate::Gateway;
@@ -10,55 +10,55 @@
 use std::sync::atomic::{AtomicBool, AtomicUsize, Ordering};
 use std::time::Duration;
 
-/// Counts one open connection as long as it lives.
-struct Open<'a>(&'a AtomicUsize);
+/// Counts an open connection until it is dropped.
+struct ConnectionGuard<'a>(&'a AtomicUsize);
 
-impl<'a> Open<'a> {
+impl<'a> ConnectionGuard<'a> {
     fn new(count: &'a AtomicUsize) -> Self {
         count.fetch_add(1, Ordering::Relaxed);
         Self(count)
     }
 }
 
-impl Drop for Open<'_> {
+impl Drop for ConnectionGuard<'_> {
     fn drop(&mut self) {
         self.0.fetch_sub(1, Ordering::Relaxed);
     }
 }
 
-/// Counts a request from when its head has come until its answer is written.
-struct Exchange<'a> {
+/// Counts an exchange from when the head of the request has arrived until the response is written.
+struct ExchangeGuard<'a> {
     gateway: &'a Gateway,
-    begun: AtomicBool,
+    started: AtomicBool,
 }
 
-impl Exchange<'_> {
-    fn begin(&self) {
-        if !self.begun.swap(true, Ordering::Relaxed) {
+impl ExchangeGuard<'_> {
+    fn start(&self) {
+        if !self.started.swap(true, Ordering::Relaxed) {
             self.gateway.exchanges.fetch_add(1, Ordering::Relaxed);
         }
     }
 
-    /// Ends when no request has begun in time.
-    async fn overdue(&self) {
+    /// Completes if no request has started within the header timeout; otherwise never.
+    async fn header_timeout(&self) {
         Timer::after(Duration::from_millis(self.gateway.settings.header_timeout_ms)).await;
-        if self.begun.load(Ordering::Relaxed) {
+        if self.started.load(Ordering::Relaxed) {
             std::future::pending::<()>().await;
         }
     }
 }
 
-impl Drop for Exchange<'_> {
+impl Drop for ExchangeGuard<'_> {
     fn drop(&mut self) {
-        if *self.begun.get_mut() {
+        if *self.started.get_mut() {
             self.gateway.exchanges.fetch_sub(1, Ordering::Relaxed);
         }
     }
 }
 
-/// Takes connections until the task is dropped.
+/// Accepts connections until the task is dropped.
 pub async fn serve(gateway: Arc<Gateway>, listener: TcpListener) {
-    const FAILED_WAIT_MS: u64 = 50;
+    const ACCEPT_RETRY_MS: u64 = 50;
     loop {
         match listener.accept().await {
             Ok((stream, _)) => {
@@ -67,40 +67,40 @@
                     metrics::counter!("lycheehub_connections_refused_total").increment(1);
                     continue;
                 }
-                let task = connection(gateway.clone(), stream);
+                let task = serve_connection(gateway.clone(), stream);
                 gateway.executor.spawn(task).detach();
             }
             Err(error) => {
                 spdlog::warn!("connection not accepted", kv: { error: });
-                Timer::after(Duration::from_millis(FAILED_WAIT_MS)).await;
+                Timer::after(Duration::from_millis(ACCEPT_RETRY_MS)).await;
             }
         }
     }
 }
 
-async fn connection(gateway: Arc<Gateway>, stream: TcpStream) {
-    let _open = Open::new(&gateway.connections);
+async fn serve_connection(gateway: Arc<Gateway>, stream: TcpStream) {
+    let _guard = ConnectionGuard::new(&gateway.connections);
     if stream.set_nodelay(true).is_err() {
         return;
     }
-    while let Some(ConnectionStatus::KeepAlive) = one_request(&gateway, &stream).await {}
+    while let Some(ConnectionStatus::KeepAlive) = serve_request(&gateway, &stream).await {}
 }
 
-/// Answers one request; nothing where the connection is at its end.
-async fn one_request(gateway: &Arc<Gateway>, stream: &TcpStream) -> Option<ConnectionStatus> {
-    let exchange = Exchange { gateway, begun: AtomicBool::new(false) };
+/// Serves one request; returns `None` if the connection failed or timed out.
+async fn serve_request(gateway: &Arc<Gateway>, stream: &TcpStream) -> Option<ConnectionStatus> {
+    let guard = ExchangeGuard { gateway, started: AtomicBool::new(false) };
     let mut server = Server::new(stream.clone(), |request| {
-        exchange.begin();
+        guard.start();
         let gateway = gateway.clone();
         let stream = stream.clone();
-        async move { routes::answer(&gateway, request, &stream).await }
+        async move { routes::respond(&gateway, request, &stream).await }
     });
-    let answered = async { Some(server.accept_one().await) };
-    let overdue = async {
-        exchange.overdue().await;
+    let served = async { Some(server.accept_one().await) };
+    let timed_out = async {
+        guard.header_timeout().await;
         None
     };
-    match answered.or(overdue).await? {
+    match served.or(timed_out).await? {
         Ok(status) => Some(status),
         Err(error) => {
             spdlog::debug!("connection ended", kv: { error: });
--- a/crates/gateway/src/http/error.rs
+++ b/crates/gateway/src/http/error.rs
@@ -1,4 +1,4 @@
-//! Responses that carry no endpoint's answer.
+//! JSON and error responses that the instance itself makes.
 
 use http_types::{Response, StatusCode, mime};
 use lycheehub_types::Refusal;
@@ -19,11 +19,11 @@
     retry_after_ms: Option<u64>,
 }
 
-/// Makes a JSON response.
+/// Creates a JSON response.
 pub fn json(status: u16, body: &impl Serialize) -> Response {
     let code = StatusCode::try_from(status).unwrap_or(StatusCode::InternalServerError);
     let body = serde_json::to_vec(body).unwrap_or_else(|error| {
-        spdlog::warn!("answer not encoded: sent without a body", kv: { status, error: });
+        spdlog::warn!("response not encoded; sending it without a body", kv: { status, error: });
         Vec::new()
     });
     let mut response = Response::new(code);
@@ -32,7 +32,7 @@
     response
 }
 
-/// Makes the response that tells a caller why it gets no answer.
+/// Creates the error response for a refused request.
 ///
 /// # Examples
 /// ```
--- a/crates/gateway/src/http/mod.rs
+++ b/crates/gateway/src/http/mod.rs
@@ -7,4 +7,4 @@
 
 pub use connection::serve;
 pub use error::{json, refusal_response};
-pub use read::{bearer, header, read_body};
+pub use read::{bearer_key, header, read_body};
--- a/crates/gateway/src/http/read.rs
+++ b/crates/gateway/src/http/read.rs
@@ -1,4 +1,4 @@
-//! Reading requests within bounds.
+//! Reads headers and bodies of requests.
 
 use crate::Gateway;
 use http_types::Request;
@@ -6,26 +6,26 @@
 use lycheehub_types::{Refusal, RefusalKind};
 use smol::io::AsyncReadExt;
 
-/// Returns a header's value.
+/// Returns the value of a header.
 pub fn header<'a>(request: &'a Request, name: &str) -> Option<&'a str> {
     request.header(name).map(|values| values.as_str())
 }
 
 /// Returns the bearer key of a request.
-pub fn bearer(request: &Request) -> Option<&str> {
+pub fn bearer_key(request: &Request) -> Option<&str> {
     header(request, "authorization")?.strip_prefix("Bearer ")
 }
 
-/// Reads a request's body within the bounds of size and time.
+/// Reads the body of a request within the limits of size and time.
 ///
 /// # Errors
-/// Refuses a body that is too long, too slow or cut short.
+/// Refuses a body that is too large, does not arrive in time or is truncated.
 pub async fn read_body(gateway: &Gateway, request: &mut Request) -> Result<Vec<u8>, Refusal> {
     let max_bytes = gateway.settings.body_max_bytes;
     let too_large =
         || Refusal::new(RefusalKind::TooLarge, format!("a body has at most {max_bytes} bytes"));
-    let expected = request.len();
-    if expected.is_some_and(|length| length > max_bytes) {
+    let expected_length = request.len();
+    if expected_length.is_some_and(|length| length > max_bytes) {
         return Err(too_large());
     }
     let body = request.take_body();
@@ -35,13 +35,13 @@
         read.map_err(|_| Refusal::new(RefusalKind::BadRequest, "the body does not decode"))?;
         Ok(bytes)
     };
-    let late = || Err(Refusal::new(RefusalKind::BadRequest, "the body did not come in time"));
+    let timed_out = || Err(Refusal::new(RefusalKind::BadRequest, "the body did not come in time"));
     let read = within(gateway.settings.body_timeout_ms, read).await;
-    let bytes: Vec<u8> = read.unwrap_or_else(late)?;
+    let bytes: Vec<u8> = read.unwrap_or_else(timed_out)?;
     if bytes.len() > max_bytes {
         return Err(too_large());
     }
-    if expected.is_some_and(|length| length != bytes.len()) {
+    if expected_length.is_some_and(|length| length != bytes.len()) {
         return Err(Refusal::new(RefusalKind::BadRequest, "the body ends too soon"));
     }
     Ok(bytes)
--- a/crates/gateway/src/http/routes.rs
+++ b/crates/gateway/src/http/routes.rs
@@ -1,4 +1,4 @@
-//! Which call a path stands for.
+//! Routes requests by method and path.
 
 use super::{json, refusal_response};
 use crate::filters::{self, Exchange};
@@ -18,22 +18,25 @@
     stopping: bool,
 }
 
-/// Answers one request; fails where the caller left.
-pub(super) async fn answer(
+/// Responds to one request.
+///
+/// # Errors
+/// Fails if the caller disconnects before the response starts.
+pub(super) async fn respond(
     gateway: &Arc<Gateway>,
     request: Request,
     stream: &TcpStream,
 ) -> http_types::Result<Response> {
     let stopping = gateway.is_stopping();
-    // Boxed, so that a connection that streams or idles does not hold the room of all calls.
-    let mut response = Box::pin(dispatch(gateway, request, stream)).await?;
+    // Boxed, so that a streaming or idle connection does not hold the memory of all handlers.
+    let mut response = Box::pin(route(gateway, request, stream)).await?;
     if stopping {
         response.insert_header("connection", "close");
     }
     Ok(response)
 }
 
-async fn dispatch(
+async fn route(
     gateway: &Arc<Gateway>,
     request: Request,
     stream: &TcpStream,
@@ -41,51 +44,52 @@
     let path = request.url().path().to_owned();
     match (request.method(), path.as_str()) {
         (Method::Get, "/healthz") => Ok(json(200, &health(gateway))),
-        (Method::Get, "/readyz") => Ok(ready(gateway)),
+        (Method::Get, "/readyz") => Ok(readiness(gateway)),
         (Method::Get, "/metrics") => Ok(metrics_text(gateway)),
         (Method::Post, "/v1/endpoints/announce") => Ok(announce::announce(gateway, request).await),
         (Method::Post, "/v1/endpoints/cache-events") => {
             Ok(announce::cache_events(gateway, request).await)
         }
-        _ if path.starts_with("/v1/operators/") => Ok(operators::answer(gateway, request).await),
-        _ if filters::takes(&path) => callers(gateway, request, stream).await,
+        _ if path.starts_with("/v1/operators/") => Ok(operators::handle(gateway, request).await),
+        _ if filters::matches_path(&path) => serve_caller(gateway, request, stream).await,
         _ => Ok(refusal_response(&Refusal::new(RefusalKind::NotFound, "no such path"))),
     }
 }
 
-/// Answers a caller, unless it leaves before the answer begins.
-async fn callers(
+/// Responds to a caller, unless it disconnects before the response starts.
+async fn serve_caller(
     gateway: &Arc<Gateway>,
     mut request: Request,
     stream: &TcpStream,
 ) -> http_types::Result<Response> {
     let mut exchange = Exchange::new(gateway, &request);
-    if let Err(refused) = filters::read(gateway, &mut request, &mut exchange).await {
-        return Ok(refused.response(&exchange));
+    if let Err(rejection) = filters::read_request_body(gateway, &mut request, &mut exchange).await {
+        return Ok(rejection.response(&exchange));
     }
-    let answered = async { Ok(filter_and_serve(gateway, exchange).await) };
-    let left = async {
-        hung_up(stream).await;
-        Err(http_types::Error::from_str(StatusCode::BadRequest, "the caller left"))
+    let served = async { Ok(filter_and_serve(gateway, exchange).await) };
+    let disconnected = async {
+        caller_disconnected(stream).await;
+        Err(http_types::Error::from_str(StatusCode::BadRequest, "the caller closed the connection"))
     };
-    answered.or(left).await
+    served.or(disconnected).await
 }
 
 async fn filter_and_serve(gateway: &Arc<Gateway>, mut exchange: Exchange) -> Response {
-    if let Err(refused) = filters::pass(gateway, &mut exchange) {
-        return refused.response(&exchange);
+    if let Err(rejection) = filters::apply_all(gateway, &mut exchange) {
+        return rejection.response(&exchange);
     }
-    let request = exchange.request;
+    let request_number = exchange.request_number;
     let mut response = serve::serve(gateway, exchange).await;
-    response.insert_header("x-request", request.to_string());
+    response.insert_header("x-request", request_number.to_string());
     response
 }
 
-/// Ends when the caller closes the connection.
-async fn hung_up(stream: &TcpStream) {
+/// Completes when the caller closes the connection; never if the caller has sent more bytes
+/// instead.
+async fn caller_disconnected(stream: &TcpStream) {
     let mut byte = [0];
     if !matches!(stream.peek(&mut byte).await, Ok(0) | Err(_)) {
-        // The next request is here already; the caller has not left.
+        // The next request has already arrived, so the caller is still connected.
         std::future::pending::<()>().await;
     }
 }
@@ -96,7 +100,7 @@
     Health { ready: view.ready, revision: view.revision, stopping }
 }
 
-fn ready(gateway: &Gateway) -> Response {
+fn readiness(gateway: &Gateway) -> Response {
     let health = health(gateway);
     let ready = health.ready && !health.stopping;
     json(if ready { 200 } else { 503 }, &health)
--- a/crates/gateway/src/keys.rs
+++ b/crates/gateway/src/keys.rs
@@ -1,4 +1,4 @@
-//! Keys: compared by digest in constant time, read from files, never logged.
+//! Bearer keys. They are read from files, compared by digest in constant time, and never logged.
 
 use quick_error::quick_error;
 use sha2::{Digest, Sha256};
@@ -27,7 +27,10 @@
 
 type Digests = BTreeMap<SmolStr, [u8; 32]>;
 
-/// A file with a name and a key on each line; read again when it changes.
+/// The keys of a file with a name and a key on each line.
+///
+/// The file is read again when its modification time changes. If it then cannot be read, the
+/// previous keys stay valid.
 #[derive(Debug)]
 pub struct KeyFile {
     path: Option<PathBuf>,
@@ -38,14 +41,14 @@
     /// Reads a key file.
     ///
     /// # Errors
-    /// Fails where the file cannot be read or a line is not a name and a key.
+    /// Fails if the file cannot be read or a line is not a name and a key.
     pub fn open(path: &Path) -> Result<Self, Error> {
         let digests = read(path)?;
         let loaded = Mutex::new((modified(path), digests));
         Ok(Self { path: Some(path.to_owned()), loaded })
     }
 
-    /// Makes a set of keys without a file.
+    /// Creates a set of keys without a file.
     ///
     /// # Examples
     /// ```
@@ -58,7 +61,7 @@
         Self { path: None, loaded: Mutex::new((None, digests)) }
     }
 
-    /// Returns the name that goes with `key`.
+    /// Returns the name of the owner of `key`.
     pub fn owner_of(&self, key: &str) -> Option<SmolStr> {
         let mut loaded = self.loaded.lock().unwrap_or_else(PoisonError::into_inner);
         if let Some(path) = &self.path {
@@ -69,10 +72,10 @@
                 *loaded = (changed, digests);
             }
         }
-        let given = digest(key);
+        let given_digest = digest(key);
         let mut owner = None;
-        for (name, expected) in &loaded.1 {
-            if bool::from(expected.ct_eq(&given)) {
+        for (name, key_digest) in &loaded.1 {
+            if bool::from(key_digest.ct_eq(&given_digest)) {
                 owner = Some(name.clone());
             }
         }
@@ -88,13 +91,13 @@
     let text =
         std::fs::read_to_string(path).map_err(|cause| Error::Read(path.to_owned(), cause))?;
     let mut digests = Digests::new();
-    for (at, line) in text.lines().enumerate() {
+    for (index, line) in text.lines().enumerate() {
         let line = line.trim();
         if line.is_empty() || line.starts_with('#') {
             continue;
         }
         let Some((name, key)) = line.split_once(char::is_whitespace) else {
-            return Err(Error::Line(path.to_owned(), at + 1));
+            return Err(Error::Line(path.to_owned(), index + 1));
         };
         digests.insert(name.into(), digest(key.trim()));
     }
--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -1,23 +1,28 @@
 //! The HTTP side of an instance.
 //!
-//! * [`http`] takes connections and turns refusals into responses.
-//! * [`filters`] is the chain that a caller's request passes: identify, classify, serve.
-//! * [`serve`] runs one request: claim, admit, dispatch, relay, account.
-//! * [`answers`] holds answers while they come in, and afterwards for resends.
-//! * [`operators`] and [`announce`] are the calls of operators and endpoints, [`orders`] the calls
-//!   to endpoints.
+//! * [`http`] accepts connections, routes requests and turns refusals into responses.
+//! * [`filters`] is the filter chain of a caller's request: readiness, identification of the client
+//!   account, classification.
+//! * [`serve`] runs one request: it claims the idempotency key, waits for the scheduler, sends the
+//!   request to an endpoint, relays the response and records the outcome.
+//! * [`scheduler`] shares the instance's scheduler between threads.
+//! * [`responses`] buffers responses while they arrive and keeps them for resends.
+//! * [`operators`] and [`announce`] handle requests of operators and endpoints.
+//! * [`orders`] sends load orders to endpoints.
+//!
+//! A resend is a request that a caller repeats under the same idempotency key.
 #![deny(missing_docs, rust_2018_idioms)]
 #![forbid(unsafe_code)]
 
 pub mod announce;
-pub mod answers;
-pub mod dispatcher;
 pub mod filters;
 mod gateway;
 pub mod http;
 pub mod keys;
 pub mod operators;
 pub mod orders;
+pub mod responses;
+pub mod scheduler;
 pub mod serve;
 mod settings;
 
--- a/crates/gateway/src/operators/apply.rs
+++ b/crates/gateway/src/operators/apply.rs
@@ -1,4 +1,4 @@
-//! Takes a section's new text.
+//! Submits a new text of a configuration section.
 
 use crate::Gateway;
 use crate::http::{header, json, read_body};
@@ -11,7 +11,7 @@
 use smol_str::SmolStr;
 
 #[derive(Serialize)]
-struct Applied<'a> {
+struct ApplyResponse<'a> {
     outcome: &'static str,
     #[serde(skip_serializing_if = "Option::is_none")]
     revision: Option<u64>,
@@ -23,8 +23,8 @@
     message: Option<&'a str>,
 }
 
-const NOTHING: Applied<'static> =
-    Applied { outcome: "", revision: None, operator: None, request_id: None, message: None };
+const EMPTY: ApplyResponse<'static> =
+    ApplyResponse { outcome: "", revision: None, operator: None, request_id: None, message: None };
 
 pub(super) async fn apply(
     gateway: &Gateway,
@@ -32,19 +32,19 @@
     operator: &SmolStr,
     section: &str,
 ) -> Result<Response, Refusal> {
-    let bad = |message: &str| Refusal::new(RefusalKind::BadRequest, message);
+    let bad_request = |message: &str| Refusal::new(RefusalKind::BadRequest, message);
     if !name::is_valid(section) {
-        return Err(bad("the section's name is no name"));
+        return Err(bad_request("the section's name is no name"));
     }
     let base_revision = header(&request, "x-base-revision").and_then(|text| text.parse().ok());
-    let base_revision =
-        base_revision.ok_or_else(|| bad("expected x-base-revision, 0 for a new section"))?;
+    let base_revision = base_revision
+        .ok_or_else(|| bad_request("expected x-base-revision, 0 for a new section"))?;
     let request_id =
         header(&request, "x-request-id").filter(|id| name::is_valid(id)).map(SmolStr::new);
-    let request_id =
-        request_id.ok_or_else(|| bad("expected x-request-id, a name that a resend repeats"))?;
+    let request_id = request_id
+        .ok_or_else(|| bad_request("expected x-request-id, a name that a resend repeats"))?;
     let body = read_body(gateway, &mut request).await?;
-    let text = String::from_utf8(body).map_err(|_| bad("the section is not UTF-8"))?;
+    let text = String::from_utf8(body).map_err(|_| bad_request("the section is not UTF-8"))?;
     let submission = Submission {
         section: SectionName::from(section),
         base_revision,
@@ -60,14 +60,14 @@
 fn respond(reply: ProposeReply) -> Response {
     match reply {
         ProposeReply::Done(Reply::Apply(ApplyOutcome::Accepted { revision })) => {
-            json(200, &Applied { outcome: "accepted", revision: Some(revision), ..NOTHING })
+            json(200, &ApplyResponse { outcome: "accepted", revision: Some(revision), ..EMPTY })
         }
         ProposeReply::Done(Reply::Apply(ApplyOutcome::Conflict {
             revision,
             operator,
             request_id,
         })) => {
-            let conflict = Applied {
+            let conflict = ApplyResponse {
                 outcome: "conflict",
                 revision: Some(revision),
                 operator: Some(&operator),
@@ -77,16 +77,16 @@
             json(409, &conflict)
         }
         ProposeReply::Done(Reply::Apply(ApplyOutcome::Invalid { message })) => {
-            json(422, &Applied { outcome: "invalid", message: Some(&message), ..NOTHING })
+            json(422, &ApplyResponse { outcome: "invalid", message: Some(&message), ..EMPTY })
         }
         ProposeReply::NotLeader => {
             let message = "no quorum of control replicas can be reached; nothing was changed";
-            json(503, &Applied { outcome: "not_applied", message: Some(message), ..NOTHING })
+            json(503, &ApplyResponse { outcome: "not_applied", message: Some(message), ..EMPTY })
         }
         _ => {
             let message = "it is not known whether the section was changed; submit again with the \
                            same x-request-id to learn the first answer";
-            json(504, &Applied { outcome: "unknown", message: Some(message), ..NOTHING })
+            json(504, &ApplyResponse { outcome: "unknown", message: Some(message), ..EMPTY })
         }
     }
 }
--- a/crates/gateway/src/operators/lists.rs
+++ b/crates/gateway/src/operators/lists.rs
@@ -1,4 +1,4 @@
-//! What operators read.
+//! Lists sections, moves, endpoints and instances for operators.
 
 use crate::Gateway;
 use crate::http::json;
@@ -21,7 +21,7 @@
 struct Move<'a> {
     #[serde(flatten)]
     record: &'a MoveRecord,
-    /// Whether the move can still be done in time.
+    /// Whether the move can still finish on schedule.
     in_time: bool,
 }
 
@@ -48,14 +48,19 @@
     instances: Vec<Instance<'a>>,
 }
 
-async fn read(gateway: &Gateway) -> Result<Statement, Refusal> {
-    const RETRY_MS: u64 = 1_000;
+/// Reads the committed control state, confirmed by a quorum.
+async fn read_committed(gateway: &Gateway) -> Result<Statement, Refusal> {
+    const RETRY_AFTER_MS: u64 = 1_000;
     gateway.control.read().await.map_err(|kind| {
-        Refusal::retry(kind, "no quorum of control replicas confirms what is committed", RETRY_MS)
+        Refusal::retry(
+            kind,
+            "no quorum of control replicas confirms what is committed",
+            RETRY_AFTER_MS,
+        )
     })
 }
 
-fn section_of(record: &SectionRecord) -> Section<'_> {
+fn section_body(record: &SectionRecord) -> Section<'_> {
     Section {
         revision: record.revision,
         operator: &record.operator,
@@ -65,23 +70,23 @@
 }
 
 pub(super) async fn sections(gateway: &Gateway) -> Result<Response, Refusal> {
-    let statement = read(gateway).await?;
+    let statement = read_committed(gateway).await?;
     let sections: BTreeMap<_, _> =
-        statement.sections.iter().map(|(name, record)| (name, section_of(record))).collect();
+        statement.sections.iter().map(|(name, record)| (name, section_body(record))).collect();
     Ok(json(200, &serde_json::json!({ "revision": statement.revision, "sections": sections })))
 }
 
 pub(super) async fn section(gateway: &Gateway, name: &str) -> Result<Response, Refusal> {
-    let statement = read(gateway).await?;
+    let statement = read_committed(gateway).await?;
     let record = statement.sections.get(&SectionName::from(name));
     let record = record.ok_or_else(|| {
         Refusal::new(RefusalKind::NotFound, format!("no section is named {name:?}"))
     })?;
-    Ok(json(200, &section_of(record)))
+    Ok(json(200, &section_body(record)))
 }
 
 pub(super) async fn moves(gateway: &Gateway) -> Result<Response, Refusal> {
-    let statement = read(gateway).await?;
+    let statement = read_committed(gateway).await?;
     let now_unix_ms = gateway.clock.now_unix_ms();
     let moves: BTreeMap<_, _> = statement
         .moves
--- a/crates/gateway/src/operators/mod.rs
+++ b/crates/gateway/src/operators/mod.rs
@@ -1,17 +1,18 @@
-//! What operators call.
+//! Handles requests from operators.
 
 mod apply;
 mod lists;
 
 use crate::Gateway;
-use crate::http::{bearer, refusal_response};
+use crate::http::{bearer_key, refusal_response};
 use http_types::{Method, Request, Response};
 use lycheehub_types::{Refusal, RefusalKind};
 use smol_str::SmolStr;
 
-/// Answers an operator's call.
-pub async fn answer(gateway: &Gateway, request: Request) -> Response {
-    let operator = bearer(&request).and_then(|key| gateway.settings.operator_keys.owner_of(key));
+/// Authenticates an operator and handles its request.
+pub async fn handle(gateway: &Gateway, request: Request) -> Response {
+    let operator =
+        bearer_key(&request).and_then(|key| gateway.settings.operator_keys.owner_of(key));
     let Some(operator) = operator else {
         let message = "expected an operator's key as bearer";
         return refusal_response(&Refusal::new(RefusalKind::Unauthorized, message));
--- a/crates/gateway/src/orders.rs
+++ b/crates/gateway/src/orders.rs
@@ -1,4 +1,4 @@
-//! Orders to endpoints.
+//! Sends load orders to endpoints.
 
 use http_types::{Body, Method, Request, Url};
 use lycheehub_clock::{Clock, within};
@@ -11,14 +11,14 @@
 use std::sync::Arc;
 
 #[derive(Serialize)]
-struct Load<'a> {
+struct LoadRequest<'a> {
     order: &'static str,
     service: &'a str,
     version: &'a str,
     fence: FencingToken,
 }
 
-/// Sends orders from the traffic threads.
+/// Sends load orders in tasks of the traffic threads.
 #[derive(Debug)]
 pub struct OrderSender {
     clock: Clock,
@@ -26,7 +26,7 @@
 }
 
 impl OrderSender {
-    /// Makes a sender that runs on `executor`.
+    /// Creates a sender that runs on `executor`.
     pub fn new(clock: Clock, executor: Arc<Executor<'static>>) -> Self {
         Self { clock, executor }
     }
@@ -37,10 +37,10 @@
         let clock = self.clock;
         let task = async move {
             let left_ms = order.valid_until_ms.saturating_sub(clock.now_ms());
-            let late = || Err(PeerError::TimedOut("order", order.address.clone(), left_ms));
+            let timed_out = || Err(PeerError::TimedOut("order", order.address.clone(), left_ms));
             let sent = within(left_ms, deliver(clock, &order)).await;
-            if let Err(error) = sent.unwrap_or_else(late) {
-                spdlog::warn!("order not taken", kv: { endpoint: = order.endpoint, error: });
+            if let Err(error) = sent.unwrap_or_else(timed_out) {
+                spdlog::warn!("load order failed", kv: { endpoint: = order.endpoint, error: });
             }
         };
         self.executor.spawn(task).detach();
@@ -50,22 +50,23 @@
 async fn deliver(clock: Clock, order: &LoadOrder) -> Result<(), PeerError> {
     let address = order.address.as_str();
     let fail = |cause: String| PeerError::failed("order", address, cause);
-    let url =
-        Url::parse(&format!("http://{address}/v1/orders")).map_err(|e| fail(e.to_string()))?;
-    let load = Load {
+    let url = Url::parse(&format!("http://{address}/v1/orders"))
+        .map_err(|error| fail(error.to_string()))?;
+    let load_request = LoadRequest {
         order: "load",
         service: order.service.as_str(),
         version: order.version.as_str(),
         fence: order.fence,
     };
-    let body = serde_json::to_vec(&load).map_err(|e| fail(e.to_string()))?;
+    let body = serde_json::to_vec(&load_request).map_err(|error| fail(error.to_string()))?;
     let mut request = Request::new(Method::Post, url);
     request.set_body(Body::from_bytes(body));
     request.insert_header("connection", "close");
-    let stream = TcpStream::connect(address).await.map_err(|e| fail(e.to_string()))?;
+    let stream = TcpStream::connect(address).await.map_err(|error| fail(error.to_string()))?;
     if clock.now_ms() >= order.valid_until_ms {
         return Err(fail("the order is no longer valid".to_owned()));
     }
-    let response = async_h1::connect(stream, request).await.map_err(|e| fail(e.to_string()))?;
+    let response =
+        async_h1::connect(stream, request).await.map_err(|error| fail(error.to_string()))?;
     if response.status().is_success() { Ok(()) } else { Err(fail(response.status().to_string())) }
 }
--- a/crates/gateway/src/dispatcher.rs
+++ b/crates/gateway/src/scheduler.rs
@@ -1,4 +1,4 @@
-//! Puts the scheduler behind a lock and hands its decisions to the requests that wait for them.
+//! Guards the scheduler by a lock and delivers its decisions to the requests that wait for them.
 
 use lycheehub_clock::Clock;
 use lycheehub_control::View;
@@ -10,61 +10,61 @@
 
 struct Inner {
     scheduler: Scheduler,
-    waiting: BTreeMap<JobKey, Sender<Decision>>,
+    senders: BTreeMap<JobKey, Sender<Decision>>,
 }
 
 /// The scheduler of this instance, shared between traffic threads.
-pub struct Dispatcher {
+pub struct SharedScheduler {
     clock: Clock,
     inner: Mutex<Inner>,
 }
 
-impl Dispatcher {
-    /// Shares a scheduler.
+impl SharedScheduler {
+    /// Wraps a scheduler.
     pub fn new(clock: Clock, scheduler: Scheduler) -> Arc<Self> {
-        Arc::new(Self { clock, inner: Mutex::new(Inner { scheduler, waiting: BTreeMap::new() }) })
+        Arc::new(Self { clock, inner: Mutex::new(Inner { scheduler, senders: BTreeMap::new() }) })
     }
 
     fn lock(&self) -> MutexGuard<'_, Inner> {
         self.inner.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Submits a request; the ticket gives it up when it is dropped.
-    pub fn submit(self: &Arc<Self>, job: Job) -> Ticket {
+    /// Submits a request; dropping the handle cancels it.
+    pub fn submit(self: &Arc<Self>, job: Job) -> JobHandle {
         let (sender, receiver) = bounded(1);
         let mut inner = self.lock();
         let (key, decisions) = inner.scheduler.submit(self.clock.now_ms(), job);
-        inner.waiting.insert(key, sender);
-        inner.hand_out(decisions);
+        inner.senders.insert(key, sender);
+        inner.deliver(decisions);
         drop(inner);
-        Ticket { dispatcher: self.clone(), key, receiver, ended: false }
+        JobHandle { scheduler: self.clone(), key, receiver, has_ended: false }
     }
 
-    /// Takes a new view.
+    /// Applies a new view of the control state.
     pub fn update(&self, view: &View) {
         let mut inner = self.lock();
         let decisions = inner.scheduler.update(self.clock.now_ms(), view);
-        inner.hand_out(decisions);
+        inner.deliver(decisions);
     }
 
-    /// Lets time pass.
+    /// Advances the scheduler to the current time.
     pub fn tick(&self) {
         let mut inner = self.lock();
         let decisions = inner.scheduler.tick(self.clock.now_ms());
-        inner.hand_out(decisions);
+        inner.deliver(decisions);
     }
 
-    /// Returns what the control state needs to know.
+    /// Returns the demands to report to the control thread.
     pub fn demands(&self) -> Demands {
         self.lock().scheduler.demands(self.clock.now_ms())
     }
 
-    /// Returns how many requests wait or run.
+    /// Returns the number of requests that are queued or running.
     pub fn jobs(&self) -> usize {
         self.lock().scheduler.jobs()
     }
 
-    /// Takes an endpoint's event on its prompt cache.
+    /// Records which blocks an endpoint's prompt cache has stored and dropped.
     pub fn cache_event(
         &self,
         endpoint: &EndpointName,
@@ -78,62 +78,63 @@
 }
 
 impl Inner {
-    fn hand_out(&mut self, decisions: Vec<Decision>) {
+    fn deliver(&mut self, decisions: Vec<Decision>) {
         for decision in decisions {
             let (Decision::Dispatch(key, _) | Decision::Refuse(key, _)) = &decision;
             let ends = matches!(decision, Decision::Refuse(..));
             let sender =
-                if ends { self.waiting.remove(key) } else { self.waiting.get(key).cloned() };
+                if ends { self.senders.remove(key) } else { self.senders.get(key).cloned() };
             if let Some(sender) = sender {
-                // A request whose caller left ends by its ticket.
+                // If the receiver is gone, the dropped handle has cancelled the request.
                 let _ = sender.try_send(decision);
             }
         }
     }
 }
 
-/// A request's place with the scheduler.
-pub struct Ticket {
-    dispatcher: Arc<Dispatcher>,
+/// A request that was submitted to the scheduler; cancelled on drop unless it has ended.
+pub struct JobHandle {
+    scheduler: Arc<SharedScheduler>,
     key: JobKey,
     receiver: Receiver<Decision>,
-    ended: bool,
+    has_ended: bool,
 }
 
-impl Ticket {
-    /// Waits for the next decision; nothing comes after a refusal.
-    pub async fn decision(&mut self) -> Option<Decision> {
+impl JobHandle {
+    /// Waits for the next decision; returns `None` after a refusal.
+    pub async fn next_decision(&mut self) -> Option<Decision> {
         let decision = self.receiver.recv().await.ok();
-        self.ended |= matches!(decision, None | Some(Decision::Refuse(..)));
+        self.has_ended |= matches!(decision, None | Some(Decision::Refuse(..)));
         decision
     }
 
-    /// Takes the request back from its endpoint, to be tried elsewhere; `ran_to` is nothing where it
-    /// did not run, else how many tokens were relayed.
-    pub fn retry(&mut self, ran_to: Option<u64>) {
-        let mut inner = self.dispatcher.lock();
-        let now_ms = self.dispatcher.clock.now_ms();
-        let decisions = inner.scheduler.retry(now_ms, self.key, ran_to);
-        inner.hand_out(decisions);
+    /// Returns the request to the queue after a failed attempt, to be tried on another endpoint.
+    /// `relayed_tokens` is `None` if the request did not run, else the number of tokens relayed so
+    /// far.
+    pub fn retry(&mut self, relayed_tokens: Option<u64>) {
+        let mut inner = self.scheduler.lock();
+        let now_ms = self.scheduler.clock.now_ms();
+        let decisions = inner.scheduler.retry(now_ms, self.key, relayed_tokens);
+        inner.deliver(decisions);
     }
 
-    /// Ends the request.
+    /// Reports how the request ended.
     pub fn finish(mut self, outcome: Outcome) {
         self.end(outcome);
     }
 
     fn end(&mut self, outcome: Outcome) {
-        if std::mem::replace(&mut self.ended, true) {
+        if std::mem::replace(&mut self.has_ended, true) {
             return;
         }
-        let mut inner = self.dispatcher.lock();
-        inner.waiting.remove(&self.key);
-        let decisions = inner.scheduler.finish(self.dispatcher.clock.now_ms(), self.key, outcome);
-        inner.hand_out(decisions);
+        let mut inner = self.scheduler.lock();
+        inner.senders.remove(&self.key);
+        let decisions = inner.scheduler.finish(self.scheduler.clock.now_ms(), self.key, outcome);
+        inner.deliver(decisions);
     }
 }
 
-impl Drop for Ticket {
+impl Drop for JobHandle {
     fn drop(&mut self) {
         self.end(Outcome::Cancelled);
     }
--- a/crates/gateway/src/serve/claim.rs
+++ b/crates/gateway/src/serve/claim.rs
@@ -1,8 +1,8 @@
-//! Claims on idempotency keys: the first request runs, a resend gets its answer.
+//! Claims on idempotency keys: the first request under a key runs, and a resend gets its response.
 
 use crate::Gateway;
-use crate::answers::AnswerBuffer;
 use crate::filters::Exchange;
+use crate::responses::ResponseBuffer;
 use lycheehub_control::Command;
 use lycheehub_control::state::{ClaimKey, ClaimOutcome, ClaimState, Claimant, Reply};
 use lycheehub_peer::{Answer, KeptAnswer, ProposeReply};
@@ -12,35 +12,37 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// The time after which a caller is asked to come back, in milliseconds.
-const RETRY_MS: u64 = 1_000;
-/// How often a resend asks for the answer while the first request runs, in milliseconds.
-const ASK_MS: u64 = 100;
+/// The `Retry-After` of a refusal, in milliseconds.
+const RETRY_AFTER_MS: u64 = 1_000;
+/// The interval at which a resend polls for the response while the first request runs, in
+/// milliseconds.
+const POLL_INTERVAL_MS: u64 = 100;
 
-/// A claim that this request holds.
+/// A claim that the request holds on its idempotency key.
 #[derive(Clone, Debug)]
-pub(super) struct Held {
+pub(super) struct HeldClaim {
     key: ClaimKey,
     claimant: Claimant,
 }
 
 /// Claims the request's idempotency key.
 ///
-/// Returns nothing where the request is a resend, after its answer was passed on.
-pub(super) async fn claim(
+/// Returns `None` if the claim was not granted; `response` is then complete, with the first
+/// request's response for a resend, or with a refusal.
+pub(super) async fn acquire(
     gateway: &Arc<Gateway>,
     exchange: &Exchange,
     key: &SmolStr,
     fingerprint: u64,
-    answer: &Arc<AnswerBuffer>,
-) -> Option<Held> {
+    response: &Arc<ResponseBuffer>,
+) -> Option<HeldClaim> {
     let key = ClaimKey { account: exchange.caller.account.clone(), key: key.clone() };
     let claimant = Claimant {
         instance: gateway.settings.instance.clone(),
         incarnation: gateway.incarnation,
-        request: exchange.request,
+        request: exchange.request_number,
     };
-    gateway.answers.insert(exchange.request, answer.clone());
+    gateway.responses.insert(exchange.request_number, response.clone());
     let command = Command::Claim {
         key: key.clone(),
         claimant: claimant.clone(),
@@ -51,78 +53,81 @@
     let outcome = match reply {
         ProposeReply::Done(Reply::Claim(outcome)) => outcome,
         _ => {
-            // The claim may be committed, but nothing was dispatched under it.
-            settle(gateway, &Held { key, claimant }, ClaimState::NotRun);
+            // The claim may be committed, but nothing was dispatched under it, so it is settled as
+            // not run.
+            settle(gateway, &HeldClaim { key, claimant }, ClaimState::NotRun);
             let message = "no quorum answered the claim on the idempotency key";
-            answer.refuse(Refusal::retry(RefusalKind::ClaimUnavailable, message, RETRY_MS));
+            response.refuse(Refusal::retry(RefusalKind::ClaimUnavailable, message, RETRY_AFTER_MS));
             return None;
         }
     };
     match outcome {
-        ClaimOutcome::Granted => return Some(Held { key, claimant }),
-        ClaimOutcome::OtherRequest => answer.refuse(Refusal::new(
+        ClaimOutcome::Granted => return Some(HeldClaim { key, claimant }),
+        ClaimOutcome::OtherRequest => response.refuse(Refusal::new(
             RefusalKind::KeyReused,
             "the idempotency key was used for another request",
         )),
-        ClaimOutcome::Full => answer.refuse(Refusal::retry(
+        ClaimOutcome::Full => response.refuse(Refusal::retry(
             RefusalKind::ClaimUnavailable,
             "no more idempotency keys can be claimed for now",
-            RETRY_MS,
+            RETRY_AFTER_MS,
         )),
         ClaimOutcome::Taken { claimant, state } => {
-            replay(gateway, exchange, &claimant, state, answer).await;
+            replay(gateway, exchange, &claimant, state, response).await;
         }
     }
     None
 }
 
-/// Ends a claim.
-pub(super) fn settle(gateway: &Arc<Gateway>, held: &Held, state: ClaimState) {
-    let (gateway, held) = (gateway.clone(), held.clone());
+/// Settles a claim in a background task.
+pub(super) fn settle(gateway: &Arc<Gateway>, held_claim: &HeldClaim, state: ClaimState) {
+    let (gateway, held_claim) = (gateway.clone(), held_claim.clone());
     let executor = gateway.executor.clone();
     let task = async move {
-        let command = Command::Settle { key: held.key, claimant: held.claimant, state };
+        let command = Command::Settle { key: held_claim.key, claimant: held_claim.claimant, state };
         if !matches!(gateway.control.propose(command).await, ProposeReply::Done(_)) {
-            spdlog::warn!("claim not settled; a resend of its key gets an unknown outcome");
+            spdlog::warn!(
+                "claim not settled; a resend under its idempotency key is refused as outcome_unknown"
+            );
         }
     };
     executor.spawn(task).detach();
 }
 
-/// Passes the first request's answer on to a resend.
+/// Answers a resend with the response to the first request, polling while that request runs.
 async fn replay(
     gateway: &Gateway,
     exchange: &Exchange,
     claimant: &Claimant,
     state: ClaimState,
-    answer: &AnswerBuffer,
+    response: &ResponseBuffer,
 ) {
     let deadline_ms = exchange.payload.as_ref().map_or(0, |payload| payload.job.deadline_ms);
     loop {
         let control = &gateway.control;
         let kept = control.answer(&claimant.instance, claimant.incarnation, claimant.request).await;
         match kept {
-            Some(KeptAnswer::Answered(kept)) => return pass_on(answer, kept).await,
+            Some(KeptAnswer::Answered(kept)) => return write_kept(response, kept).await,
             Some(KeptAnswer::Running) if gateway.clock.now_ms() < deadline_ms => {}
-            Some(KeptAnswer::Running) => return answer.refuse(still_runs()),
-            Some(KeptAnswer::Gone) | None => return answer.refuse(not_kept(state)),
+            Some(KeptAnswer::Running) => return response.refuse(still_running()),
+            Some(KeptAnswer::Gone) | None => return response.refuse(no_longer_kept(state)),
         }
-        Timer::after(Duration::from_millis(ASK_MS)).await;
+        Timer::after(Duration::from_millis(POLL_INTERVAL_MS)).await;
     }
 }
 
-async fn pass_on(answer: &AnswerBuffer, kept: Answer) {
-    answer.begin(kept.status, &kept.content_type, Some(kept.body.len()));
-    answer.append(&kept.body).await;
-    answer.finish();
+async fn write_kept(response: &ResponseBuffer, kept: Answer) {
+    response.start(kept.status, &kept.content_type, Some(kept.body.len()));
+    response.append(&kept.body).await;
+    response.finish();
 }
 
-fn still_runs() -> Refusal {
+fn still_running() -> Refusal {
     let message = "the first request under this idempotency key still runs";
-    Refusal::retry(RefusalKind::OutcomeUnknown, message, RETRY_MS)
+    Refusal::retry(RefusalKind::OutcomeUnknown, message, RETRY_AFTER_MS)
 }
 
-fn not_kept(state: ClaimState) -> Refusal {
+fn no_longer_kept(state: ClaimState) -> Refusal {
     match state {
         ClaimState::Answered => Refusal::new(
             RefusalKind::AlreadyRun,
--- a/crates/gateway/src/serve/endpoint.rs
+++ b/crates/gateway/src/serve/endpoint.rs
@@ -1,4 +1,4 @@
-//! The exchange with one endpoint.
+//! Sends a request to one endpoint.
 
 use crate::Gateway;
 use crate::filters::{Exchange, Payload};
@@ -7,30 +7,31 @@
 use smol::net::TcpStream;
 use std::future::Future;
 
-/// How an attempt at an endpoint failed.
+/// Why an attempt at an endpoint failed.
 #[derive(Debug)]
 pub(super) enum Failure {
-    /// No byte of the request was written, or the endpoint said that it did not run it.
+    /// No byte of the request was written, or the endpoint reported that it did not run it.
     NotRun(PeerError),
     /// The request may have run.
     Unknown(PeerError),
 }
 
-/// Connects to an endpoint; a failure means that the request did not run.
+/// Connects to an endpoint; after a failure the request has not run.
 async fn connect(gateway: &Gateway, address: &str) -> Result<TcpStream, Failure> {
     let fail = |cause: std::io::Error| PeerError::failed("connect", address, cause);
     let connect = async { TcpStream::connect(address).await.map_err(fail) };
     let timeout_ms = gateway.settings.connect_timeout_ms;
-    let stream = bounded("connect", address, timeout_ms, connect).await.map_err(Failure::NotRun)?;
+    let stream =
+        with_timeout("connect", address, timeout_ms, connect).await.map_err(Failure::NotRun)?;
     stream.set_nodelay(true).map_err(|error| Failure::NotRun(fail(error)))?;
     Ok(stream)
 }
 
-/// Sends a request and takes the head of the response, over an idle connection where the request
-/// may be sent twice.
+/// Sends a request and receives the head of the response. An idempotent request uses an idle
+/// connection if there is one, and is sent again on a new connection if that fails.
 ///
-/// Returns the connection as well, to be kept once the answer was read to its end.
-pub(super) async fn exchange(
+/// Also returns the connection, which can be reused once the response was read to its end.
+pub(super) async fn send_request(
     gateway: &Gateway,
     exchange: &Exchange,
     payload: &Payload,
@@ -40,22 +41,25 @@
     let now_ms = gateway.clock.now_ms();
     let idle = payload.idempotent.then(|| gateway.pool.take(now_ms, address)).flatten();
     let Some(stream) = idle else {
-        return exchange_new(gateway, exchange, payload, address, resume_from).await;
+        return send_on_new_connection(gateway, exchange, payload, address, resume_from).await;
     };
     let error = match send(gateway, exchange, payload, address, &stream, resume_from).await {
         Ok(response) => return Ok((response, stream)),
         Err(Failure::NotRun(error)) => return Err(Failure::NotRun(error)),
         Err(Failure::Unknown(error)) => error,
     };
-    spdlog::info!("sent again on a new connection", kv: { request = exchange.request, error: });
-    let again = exchange_new(gateway, exchange, payload, address, resume_from).await;
-    // What was sent over the idle connection may have run, whatever became of the second attempt.
-    again.map_err(|failure| match failure {
+    spdlog::info!("request failed on an idle connection; retrying on a new one", kv: {
+        request = exchange.request_number,
+        error:,
+    });
+    let retried = send_on_new_connection(gateway, exchange, payload, address, resume_from).await;
+    // The request that was sent on the idle connection may have run, whatever the second result.
+    retried.map_err(|failure| match failure {
         Failure::NotRun(error) | Failure::Unknown(error) => Failure::Unknown(error),
     })
 }
 
-async fn exchange_new(
+async fn send_on_new_connection(
     gateway: &Gateway,
     exchange: &Exchange,
     payload: &Payload,
@@ -67,7 +71,9 @@
     Ok((response, stream))
 }
 
-/// Sends a request and takes the head of the response; the request counts as dispatched.
+/// Sends a request and receives the head of the response. Any failure after the request is built
+/// counts as [`Failure::Unknown`], unless the endpoint reports with `x-not-run` that it did not run
+/// it.
 async fn send(
     gateway: &Gateway,
     exchange: &Exchange,
@@ -76,14 +82,15 @@
     stream: &TcpStream,
     resume_from: u64,
 ) -> Result<Response, Failure> {
-    let request = request(gateway, exchange, payload, address, resume_from)
+    let request = build_request(gateway, exchange, payload, address, resume_from)
         .map_err(|cause| Failure::NotRun(PeerError::failed("prepare", address, cause)))?;
-    let sent = async {
+    let exchanged = async {
         let response = async_h1::connect(stream.clone(), request).await;
         response.map_err(|error| PeerError::failed("send", address, error))
     };
     let left_ms = payload.job.deadline_ms.saturating_sub(gateway.clock.now_ms());
-    let response = bounded("send", address, left_ms, sent).await.map_err(Failure::Unknown)?;
+    let response =
+        with_timeout("send", address, left_ms, exchanged).await.map_err(Failure::Unknown)?;
     let not_run = response.header("x-not-run").is_some_and(|values| values.as_str() == "true");
     if not_run {
         let cause = format!("refused with status {}", response.status());
@@ -92,18 +99,18 @@
     Ok(response)
 }
 
-/// Bounds a step at an endpoint in time.
-pub(super) async fn bounded<T>(
+/// Runs one step of an attempt with a timeout.
+pub(super) async fn with_timeout<T>(
     step: &'static str,
     address: &str,
     timeout_ms: u64,
     work: impl Future<Output = Result<T, PeerError>>,
 ) -> Result<T, PeerError> {
-    let done = lycheehub_clock::within(timeout_ms, work).await;
-    done.unwrap_or_else(|| Err(PeerError::TimedOut(step, address.into(), timeout_ms)))
+    let result = lycheehub_clock::within(timeout_ms, work).await;
+    result.unwrap_or_else(|| Err(PeerError::TimedOut(step, address.into(), timeout_ms)))
 }
 
-fn request(
+fn build_request(
     gateway: &Gateway,
     exchange: &Exchange,
     payload: &Payload,
@@ -117,7 +124,10 @@
     if let Some(content_type) = &exchange.content_type {
         request.insert_header("content-type", content_type.as_str());
     }
-    let id = format!("{}/{}/{}", gateway.settings.instance, gateway.incarnation, exchange.request);
+    let id = format!(
+        "{}/{}/{}",
+        gateway.settings.instance, gateway.incarnation, exchange.request_number
+    );
     request.insert_header("x-request", id);
     if !payload.idempotent {
         request.insert_header("connection", "close");
--- a/crates/gateway/src/serve/events.rs
+++ b/crates/gateway/src/serve/events.rs
@@ -1,30 +1,30 @@
-//! Splits a stream of server-sent events into whole events.
+//! Splits a stream of server-sent events into complete events.
 
-/// The event that ends a generation.
+/// The last event of a generation.
 const DONE: &[u8] = b"data: [DONE]";
 
-/// A splitter that holds back an event until all of it has come.
+/// Buffers the bytes of an event until the event is complete.
 #[derive(Debug, Default)]
-pub(super) struct Events {
-    rest: Vec<u8>,
+pub(super) struct EventSplitter {
+    partial: Vec<u8>,
     done: bool,
 }
 
-/// Whole events that came together.
+/// The events completed by one read.
 #[derive(Debug, Default, PartialEq, Eq)]
 pub(super) struct Batch {
     pub(super) bytes: Vec<u8>,
-    /// How many of them carry a token.
+    /// The number of events that carry a token.
     pub(super) tokens: u64,
 }
 
-impl Events {
-    /// Takes bytes and returns the events that they complete.
+impl EventSplitter {
+    /// Adds bytes and returns the events that they complete.
     pub(super) fn push(&mut self, bytes: &[u8]) -> Batch {
-        self.rest.extend_from_slice(bytes);
+        self.partial.extend_from_slice(bytes);
         let mut batch = Batch::default();
-        while let Some(end) = find_end(&self.rest) {
-            let event: Vec<u8> = self.rest.drain(..end).collect();
+        while let Some(end) = event_end(&self.partial) {
+            let event: Vec<u8> = self.partial.drain(..end).collect();
             if event.starts_with(DONE) {
                 self.done = true;
             } else if event.starts_with(b"data:") {
@@ -35,13 +35,13 @@
         batch
     }
 
-    /// Tells whether the generation's last event has come.
+    /// Returns whether the last event of the generation was received.
     pub(super) fn is_done(&self) -> bool {
         self.done
     }
 }
 
-fn find_end(bytes: &[u8]) -> Option<usize> {
+fn event_end(bytes: &[u8]) -> Option<usize> {
     const SEPARATOR: &[u8] = b"\n\n";
     bytes.windows(SEPARATOR.len()).position(|pair| pair == SEPARATOR).map(|at| at + SEPARATOR.len())
 }
--- a/crates/gateway/src/serve/mod.rs
+++ b/crates/gateway/src/serve/mod.rs
@@ -1,4 +1,5 @@
-//! Serves one request: claim, admit, dispatch, relay, account.
+//! Serves one request: claims its idempotency key, waits for the scheduler, sends it to an
+//! endpoint, relays the response and records the outcome.
 
 mod claim;
 mod endpoint;
@@ -7,70 +8,71 @@
 mod relay;
 mod run;
 
-pub use pool::Pool;
+pub use pool::ConnectionPool;
 
 use crate::Gateway;
-use crate::answers::{AnswerBuffer, Head};
 use crate::filters::Exchange;
 use crate::http::refusal_response;
+use crate::responses::{Head, ResponseBuffer};
 use http_types::{Response, StatusCode};
 use lycheehub_types::{EndpointKind, Refusal, RefusalKind};
 use std::sync::Arc;
 use std::sync::atomic::Ordering;
 
-/// Counts a request that runs, whether its caller is still there or not.
-struct Background(Arc<Gateway>);
+/// Counts a running request, whether or not its caller is still connected.
+struct RequestTask(Arc<Gateway>);
 
-impl Background {
+impl RequestTask {
     fn new(gateway: &Arc<Gateway>) -> Self {
-        gateway.background.fetch_add(1, Ordering::Relaxed);
+        gateway.request_tasks.fetch_add(1, Ordering::Relaxed);
         Self(gateway.clone())
     }
 }
 
-impl Drop for Background {
+impl Drop for RequestTask {
     fn drop(&mut self) {
-        self.0.background.fetch_sub(1, Ordering::Relaxed);
+        self.0.request_tasks.fetch_sub(1, Ordering::Relaxed);
     }
 }
 
 /// Serves a request that has passed the filters.
 ///
-/// The request runs in a task of its own. A request that is claimed or may not run twice goes on
-/// where its caller leaves; any other is cancelled.
+/// The request runs in its own task. If the caller disconnects, the task keeps running if the
+/// request holds an idempotency key, or if a plain service runs it and it is not idempotent; any
+/// other task is cancelled.
 pub async fn serve(gateway: &Arc<Gateway>, exchange: Exchange) -> Response {
     let Some(payload) = exchange.payload.clone() else {
         return refusal_response(&Refusal::new(RefusalKind::BadRequest, "not classified"));
     };
     let claimed = exchange.idempotency_key.is_some();
-    let goes_on = claimed || (payload.kind == EndpointKind::Plain && !payload.idempotent);
-    let answer = AnswerBuffer::new(claimed);
-    let reader = answer.reader();
-    let running = Background::new(gateway);
+    let outlives_caller = claimed || (payload.kind == EndpointKind::Plain && !payload.idempotent);
+    let buffer = ResponseBuffer::new(claimed);
+    let reader = buffer.reader();
+    let guard = RequestTask::new(gateway);
     let task = {
-        let (gateway, answer) = (gateway.clone(), answer.clone());
+        let (gateway, buffer) = (gateway.clone(), buffer.clone());
         async move {
-            let _running = running;
-            // Boxed, so that it is not held twice in the task.
-            let work = Box::pin(run::run(&gateway, exchange, payload, &answer));
-            if goes_on {
+            let _guard = guard;
+            // Boxed, so that the task does not hold the future twice.
+            let work = Box::pin(run::run(&gateway, exchange, payload, &buffer));
+            if outlives_caller {
                 work.await;
             } else {
-                smol::future::or(work, answer.abandoned()).await;
+                smol::future::or(work, buffer.abandoned()).await;
             }
-            // A task that ends without an end to its answer has failed.
-            answer
+            // Has no effect unless the task ended without ending the response.
+            buffer
                 .refuse(Refusal::new(RefusalKind::OutcomeUnknown, "the request was not finished"));
         }
     };
     gateway.executor.spawn(task).detach();
-    match answer.head().await {
+    match buffer.head().await {
         Head::Refused(refusal) => {
             metrics::counter!("lycheehub_refusals_total", "code" => refusal.kind().code())
                 .increment(1);
             refusal_response(&refusal)
         }
-        Head::Begun { status, content_type, length } => {
+        Head::Started { status, content_type, length } => {
             let code = StatusCode::try_from(status).unwrap_or(StatusCode::BadGateway);
             let mut response = Response::new(code);
             response.set_body(reader.into_body(length));
--- a/crates/gateway/src/serve/run.rs
+++ b/crates/gateway/src/serve/run.rs
@@ -1,12 +1,12 @@
-//! Runs one request from its claim to its end.
+//! Runs one request, from the claim on its idempotency key to its outcome.
 
-use super::claim::{self, Held};
+use super::claim::{self, HeldClaim};
 use super::endpoint::{self, Failure};
-use super::relay::{self, Bounds, Progress};
+use super::relay::{self, Progress, ReadLimits};
 use crate::Gateway;
-use crate::answers::AnswerBuffer;
-use crate::dispatcher::Ticket;
 use crate::filters::{Exchange, Payload};
+use crate::responses::ResponseBuffer;
+use crate::scheduler::JobHandle;
 use http_types::Response;
 use lycheehub_control::state::ClaimState;
 use lycheehub_route::{Assignment, Decision, Outcome};
@@ -15,116 +15,131 @@
 use std::sync::Arc;
 
 /// How a request ended.
-enum End {
+enum Completion {
     Answered(Outcome),
-    /// Refused before anything ran.
+    /// Refused before it ran.
     NotRun(Refusal),
     /// Failed after it may have run.
     Failed(Refusal),
 }
 
-/// Runs a request; its end is in `answer`.
+/// Runs a request and writes its response or refusal to `buffer`.
 pub(super) async fn run(
     gateway: &Arc<Gateway>,
     exchange: Exchange,
     payload: Payload,
-    answer: &Arc<AnswerBuffer>,
+    buffer: &Arc<ResponseBuffer>,
 ) {
-    let held = match &exchange.idempotency_key {
+    let held_claim = match &exchange.idempotency_key {
         Some(key) => {
-            let held = claim::claim(gateway, &exchange, key, payload.fingerprint, answer).await;
-            if held.is_none() {
+            let held_claim =
+                claim::acquire(gateway, &exchange, key, payload.fingerprint, buffer).await;
+            if held_claim.is_none() {
                 return;
             }
-            held
+            held_claim
         }
         None => None,
     };
-    let mut ticket = gateway.dispatcher.submit(payload.job.clone());
-    let end = attempts(gateway, &exchange, &payload, answer, &mut ticket).await;
-    account(gateway, &exchange, &payload, answer, ticket, end, held);
+    let mut handle = gateway.scheduler.submit(payload.job.clone());
+    let completion = run_attempts(gateway, &exchange, &payload, buffer, &mut handle).await;
+    complete(gateway, &exchange, &payload, buffer, handle, completion, held_claim);
 }
 
-/// Tries endpoints until the request ends.
-async fn attempts(
+/// Sends the request to one endpoint after another until it is answered, refused or failed.
+async fn run_attempts(
     gateway: &Arc<Gateway>,
     exchange: &Exchange,
     payload: &Payload,
-    answer: &AnswerBuffer,
-    ticket: &mut Ticket,
-) -> End {
+    buffer: &ResponseBuffer,
+    handle: &mut JobHandle,
+) -> Completion {
     let mut progress = Progress::default();
-    let mut ran = false;
+    let mut may_have_run = false;
     loop {
-        let assignment = match ticket.decision().await {
+        let assignment = match handle.next_decision().await {
             Some(Decision::Dispatch(_, assignment)) => assignment,
-            Some(Decision::Refuse(_, refusal)) if !ran => return End::NotRun(refusal),
-            _ => return End::Failed(unfinished("no endpoint could finish the request")),
+            Some(Decision::Refuse(_, refusal)) if !may_have_run => {
+                return Completion::NotRun(refusal);
+            }
+            _ => {
+                return Completion::Failed(outcome_unknown("no endpoint could finish the request"));
+            }
         };
         log_dispatch(exchange, payload, &assignment);
-        let begun_ms = gateway.clock.now_ms_f64();
-        let attempt = attempt(gateway, exchange, payload, answer, &assignment, &mut progress).await;
-        let (error, ran_to) = match attempt {
+        let started_ms = gateway.clock.now_ms_f64();
+        let result =
+            run_attempt(gateway, exchange, payload, buffer, &assignment, &mut progress).await;
+        let (error, relayed_tokens) = match result {
             Ok(()) => {
-                return End::Answered(outcome(begun_ms, gateway.clock.now_ms_f64(), &progress));
+                return Completion::Answered(outcome(
+                    started_ms,
+                    gateway.clock.now_ms_f64(),
+                    &progress,
+                ));
             }
             Err(Failure::NotRun(error)) => (error, None),
             Err(Failure::Unknown(error)) => {
-                ran = true;
-                let late = gateway.clock.now_ms() >= payload.job.deadline_ms;
-                if !payload.idempotent || late || !can_resume(payload, answer) {
-                    spdlog::warn!("request failed", kv: { request = exchange.request, error: });
-                    return End::Failed(unfinished(&error.to_string()));
+                may_have_run = true;
+                let deadline_passed = gateway.clock.now_ms() >= payload.job.deadline_ms;
+                if !payload.idempotent || deadline_passed || !can_resume(payload, buffer) {
+                    spdlog::warn!("request failed", kv: {
+                        request = exchange.request_number,
+                        error:,
+                    });
+                    return Completion::Failed(outcome_unknown(&error.to_string()));
                 }
                 (error, Some(progress.tokens))
             }
         };
         spdlog::info!("tried elsewhere", kv: {
-            request = exchange.request,
+            request = exchange.request_number,
             relayed_tokens = progress.tokens,
             error:,
         });
         metrics::counter!("lycheehub_retries_total").increment(1);
-        ticket.retry(ran_to);
+        handle.retry(relayed_tokens);
     }
 }
 
-/// A whole answer restarts; a stream of events goes on from the tokens relayed.
-fn can_resume(payload: &Payload, answer: &AnswerBuffer) -> bool {
-    !answer.has_begun() || (payload.kind == EndpointKind::Engine && payload.stream)
+/// Returns whether another endpoint can continue the request. Before the response has started the
+/// request runs again from the beginning; a stream of events resumes after the relayed tokens.
+fn can_resume(payload: &Payload, buffer: &ResponseBuffer) -> bool {
+    !buffer.has_started() || (payload.kind == EndpointKind::Engine && payload.stream)
 }
 
-fn unfinished(message: &str) -> Refusal {
+fn outcome_unknown(message: &str) -> Refusal {
     Refusal::new(RefusalKind::OutcomeUnknown, message)
 }
 
-async fn attempt(
+async fn run_attempt(
     gateway: &Arc<Gateway>,
     exchange: &Exchange,
     payload: &Payload,
-    answer: &AnswerBuffer,
+    buffer: &ResponseBuffer,
     assignment: &Assignment,
     progress: &mut Progress,
 ) -> Result<(), Failure> {
     let address = assignment.address.as_str();
-    let from = progress.tokens;
+    let resume_from = progress.tokens;
     let (response, connection) =
-        endpoint::exchange(gateway, exchange, payload, address, from).await?;
+        endpoint::send_request(gateway, exchange, payload, address, resume_from).await?;
     let mut reusable = payload.idempotent && keeps_alive(&response);
-    let bounds = Bounds {
+    let limits = ReadLimits {
         deadline_ms: payload.job.deadline_ms,
         idle_timeout_ms: gateway.settings.idle_timeout_ms,
     };
-    let failed = response.status().is_server_error();
-    if payload.kind == EndpointKind::Engine && failed {
+    let server_error = response.status().is_server_error();
+    if payload.kind == EndpointKind::Engine && server_error {
         let cause = format!("status {}", response.status());
         return Err(Failure::Unknown(PeerError::failed("send", address, cause)));
     }
     if payload.stream && response.status().is_success() {
-        let relayed = relay::stream(gateway, address, response, bounds, answer, progress).await;
+        let relayed =
+            relay::relay_stream(gateway, address, response, limits, buffer, progress).await;
         reusable &= relayed.map_err(Failure::Unknown)?;
     } else {
-        whole_answer(gateway, payload, answer, address, response, bounds, progress).await?;
+        relay_whole(gateway, payload, buffer, address, response, limits, progress).await?;
     }
     if reusable {
         gateway.pool.put(gateway.clock.now_ms(), address, connection);
@@ -133,84 +148,89 @@
 }
 
 fn keeps_alive(response: &Response) -> bool {
-    let closes =
+    let is_close =
         |values: &http_types::headers::HeaderValues| values.as_str().eq_ignore_ascii_case("close");
-    !response.header("connection").is_some_and(closes)
+    !response.header("connection").is_some_and(is_close)
 }
 
-async fn whole_answer(
+async fn relay_whole(
     gateway: &Gateway,
     payload: &Payload,
-    answer: &AnswerBuffer,
+    buffer: &ResponseBuffer,
     address: &str,
     response: Response,
-    bounds: Bounds,
+    limits: ReadLimits,
     progress: &mut Progress,
 ) -> Result<(), Failure> {
     let status = u16::from(response.status());
     let content_type = response.header("content-type").map(|values| values.as_str().to_owned());
-    let body = relay::whole(gateway, address, response, bounds).await.map_err(Failure::Unknown)?;
+    let body =
+        relay::read_whole(gateway, address, response, limits).await.map_err(Failure::Unknown)?;
     if payload.kind == EndpointKind::Engine {
-        progress.tokens = relay::tokens_of(&body);
+        progress.tokens = relay::count_tokens(&body);
     }
     let content_type = content_type.as_deref().unwrap_or("application/octet-stream");
-    answer.begin(status, content_type, Some(body.len()));
-    answer.append(&body).await;
-    answer.finish();
+    buffer.start(status, content_type, Some(body.len()));
+    buffer.append(&body).await;
+    buffer.finish();
     Ok(())
 }
 
-fn outcome(begun_ms: f64, now_ms: f64, progress: &Progress) -> Outcome {
-    let last_ms = if progress.first_ms.is_some() { progress.last_ms } else { now_ms };
+fn outcome(started_ms: f64, now_ms: f64, progress: &Progress) -> Outcome {
+    let last_token_ms =
+        if progress.first_token_ms.is_some() { progress.last_token_ms } else { now_ms };
     Outcome::Answered {
         tokens: progress.tokens,
-        first_token_ms: progress.first_ms.map(|first_ms| (first_ms - begun_ms).max(0.0)),
-        total_ms: (last_ms - begun_ms).max(0.0),
+        first_token_ms: progress
+            .first_token_ms
+            .map(|first_token_ms| (first_token_ms - started_ms).max(0.0)),
+        total_ms: (last_token_ms - started_ms).max(0.0),
     }
 }
 
-/// Ends the request everywhere: towards the caller, the scheduler and the claim.
-fn account(
+/// Completes the request: reports the outcome to the scheduler, refuses a request without a
+/// response, records metrics and settles the claim.
+fn complete(
     gateway: &Arc<Gateway>,
     exchange: &Exchange,
     payload: &Payload,
-    answer: &AnswerBuffer,
-    ticket: Ticket,
-    end: End,
-    held: Option<Held>,
+    buffer: &ResponseBuffer,
+    handle: JobHandle,
+    completion: Completion,
+    held_claim: Option<HeldClaim>,
 ) {
-    let (name, state) = match end {
-        End::Answered(outcome) => {
-            ticket.finish(outcome);
+    let (end, state) = match completion {
+        Completion::Answered(outcome) => {
+            handle.finish(outcome);
             ("answered", ClaimState::Answered)
         }
-        End::NotRun(refusal) => {
-            ticket.finish(Outcome::Cancelled);
+        Completion::NotRun(refusal) => {
+            handle.finish(Outcome::Cancelled);
             log_refusal(exchange, payload, &refusal);
-            answer.refuse(refusal);
+            buffer.refuse(refusal);
             ("refused", ClaimState::NotRun)
         }
-        End::Failed(refusal) => {
-            ticket.finish(Outcome::Failed);
+        Completion::Failed(refusal) => {
+            handle.finish(Outcome::Failed);
             log_refusal(exchange, payload, &refusal);
-            answer.refuse(refusal);
+            buffer.refuse(refusal);
             ("failed", ClaimState::Unknown)
         }
     };
     let tier = payload.job.tier.to_string();
     let service = payload.job.service.to_string();
-    metrics::counter!("lycheehub_requests_total", "service" => service, "tier" => tier, "end" => name)
+    metrics::counter!("lycheehub_requests_total", "service" => service, "tier" => tier, "end" => end)
         .increment(1);
-    let took_ms = gateway.clock.now_ms().saturating_sub(exchange.arrived_ms);
-    metrics::histogram!("lycheehub_request_ms").record(took_ms as f64);
-    if let Some(held) = held {
-        claim::settle(gateway, &held, state);
+    let duration_ms = gateway.clock.now_ms().saturating_sub(exchange.arrived_ms);
+    metrics::histogram!("lycheehub_request_ms").record(duration_ms as f64);
+    if let Some(held_claim) = held_claim {
+        claim::settle(gateway, &held_claim, state);
     }
 }
 
 fn log_refusal(exchange: &Exchange, payload: &Payload, refusal: &Refusal) {
     spdlog::info!("refused", kv: {
-        request = exchange.request,
+        request = exchange.request_number,
         service: = payload.job.service,
         tier: = payload.job.tier,
         code = refusal.kind().code(),
@@ -230,7 +250,7 @@
         );
     }
     spdlog::info!("dispatched", kv: {
-        request = exchange.request,
+        request = exchange.request_number,
         service: = payload.job.service,
         route: = payload.job.route,
         tier: = payload.job.tier,
--- a/crates/gateway/src/settings.rs
+++ b/crates/gateway/src/settings.rs
@@ -1,4 +1,4 @@
-//! What the HTTP side needs of the daemon's settings.
+//! Settings of the HTTP side.
 
 use crate::keys::KeyFile;
 use lycheehub_types::InstanceName;
@@ -8,26 +8,26 @@
 pub struct Settings {
     /// This instance's name.
     pub instance: InstanceName,
-    /// The longest request body, in bytes.
+    /// The maximum size of a request body, in bytes.
     pub body_max_bytes: usize,
-    /// The longest whole answer, in bytes.
+    /// The maximum size of a response that is not streamed, in bytes.
     pub answer_max_bytes: usize,
-    /// How long a caller may take to send a request's head, in milliseconds.
+    /// The timeout for receiving the head of a request, in milliseconds.
     pub header_timeout_ms: u64,
-    /// How long a caller may take to send a request's body, in milliseconds.
+    /// The timeout for receiving the body of a request, in milliseconds.
     pub body_timeout_ms: u64,
-    /// The most connections at once.
+    /// The maximum number of open connections.
     pub connections_max: usize,
-    /// How long an endpoint may take to accept a connection, in milliseconds.
+    /// The timeout for connecting to an endpoint, in milliseconds.
     pub connect_timeout_ms: u64,
-    /// How long an endpoint may send nothing, in milliseconds.
+    /// How long a streaming endpoint may stay silent, in milliseconds.
     pub idle_timeout_ms: u64,
-    /// How long answers are kept for resends, in milliseconds.
+    /// How long responses are kept for resends, in milliseconds.
     pub answer_retention_ms: u64,
-    /// The most bytes of answers kept for resends.
+    /// The maximum total size of the responses kept for resends, in bytes.
     pub answers_max_bytes: usize,
-    /// The operators' keys, by operator.
+    /// The keys of operators, by the operator's name.
     pub operator_keys: KeyFile,
-    /// The endpoints' keys, by any name.
+    /// The keys of endpoints. Their names are not checked.
     pub endpoint_keys: KeyFile,
 }
