--- a/crates/cli/src/serve/wire_up.rs
+++ b/crates/cli/src/serve/wire_up.rs
@@ -40,7 +40,7 @@
     let timers = Arc::new(TimerService::new(clock));
     let views = Views::default();
     let limits = &loaded.gateway;
-    let answers =
+    let responses =
         Arc::new(ResponseStore::new(clock, limits.answer_retention_ms, limits.answers_max_bytes));
     let (sender, requests) = unbounded();
     let parts = ControlParts {
@@ -49,7 +49,7 @@
         timers: timers.clone(),
         views: views.clone(),
         outside: Outside {
-            answers: answers.clone(),
+            answers: responses.clone(),
             orders: Arc::new(OrderSender::new(clock, executor.clone())),
         },
         listener: peer,
@@ -63,7 +63,7 @@
         views,
         control: Control::new(sender),
         scheduler: SharedScheduler::new(clock, scheduler),
-        responses: answers,
+        responses,
         pool: ConnectionPool::default(),
         metrics: start_metrics()?,
         executor,
--- a/crates/gateway/src/keys.rs
+++ b/crates/gateway/src/keys.rs
@@ -29,8 +29,8 @@
 
 /// The keys of a file with a name and a key on each line.
 ///
-/// The file is read again when its modification time changes. If it then cannot be read, the
-/// previous keys stay valid.
+/// The file is read again when its modification time changes. If it then cannot be read or has an
+/// invalid line, the previous keys stay valid.
 #[derive(Debug)]
 pub struct KeyFile {
     path: Option<PathBuf>,
--- a/crates/gateway/src/scheduler.rs
+++ b/crates/gateway/src/scheduler.rs
@@ -85,7 +85,7 @@
             let sender =
                 if ends { self.senders.remove(key) } else { self.senders.get(key).cloned() };
             if let Some(sender) = sender {
-                // If the receiver is gone, the dropped handle has cancelled the request.
+                // A failed send is ignored: dropping the handle ends the request.
                 let _ = sender.try_send(decision);
             }
         }
--- a/crates/wire/src/convert/consensus.rs
+++ b/crates/wire/src/convert/consensus.rs
@@ -1,4 +1,4 @@
-//! Messages of the replicated log.
+//! Conversions of the messages of the consensus protocol.
 
 use super::{WireError, text};
 use crate::peer_capnp as schema;
@@ -109,11 +109,11 @@
     builder.set_index(position.index);
 }
 
-/// Writes voters.
+/// Writes the set of voters.
 pub fn write_config(config: &Config, builder: schema::config::Builder<'_>) {
     let mut voters = builder.init_voters(config.voters.len() as u32);
-    for (at, (id, instance)) in config.voters.iter().enumerate() {
-        let mut voter = voters.reborrow().get(at as u32);
+    for (i, (id, instance)) in config.voters.iter().enumerate() {
+        let mut voter = voters.reborrow().get(i as u32);
         voter.set_id(id.0);
         voter.set_instance(instance.as_str());
     }
@@ -128,7 +128,7 @@
     }
 }
 
-/// Writes a message of the replicated log.
+/// Writes a message of the consensus protocol.
 pub fn write_message(message: &Message, mut builder: schema::consensus_message::Builder<'_>) {
     match message {
         Message::PreVote { term, last } => {
@@ -150,8 +150,8 @@
             append.set_commit(*commit);
             append.set_round(*round);
             let mut list = append.init_entries(entries.len() as u32);
-            for (at, entry) in entries.iter().enumerate() {
-                write_entry(entry, list.reborrow().get(at as u32));
+            for (i, entry) in entries.iter().enumerate() {
+                write_entry(entry, list.reborrow().get(i as u32));
             }
         }
         Message::AppendReply { term, accepted, index, round } => {
--- a/crates/wire/src/convert/directory.rs
+++ b/crates/wire/src/convert/directory.rs
@@ -1,4 +1,4 @@
-//! Endpoints as control replicas pass them on.
+//! Conversions of endpoint listings, which control replicas send to each other and to watchers.
 
 use super::WireError;
 use super::records::write_endpoint;
@@ -23,30 +23,30 @@
 /// Reads a list of endpoints.
 ///
 /// # Errors
-/// Fails where a listing does not decode.
+/// Fails if a listing cannot be decoded.
 pub fn read_listings(
     reader: struct_list::Reader<'_, schema::listing::Owned>,
 ) -> Result<Vec<Listing>, WireError> {
     reader.iter().map(Listing::try_from).collect()
 }
 
-/// Writes a list of endpoints; the builder has room for all of them.
+/// Writes a list of endpoints; the builder has the length of `listings`.
 pub fn write_listings(
     listings: &[Listing],
     mut builder: struct_list::Builder<'_, schema::listing::Owned>,
 ) {
-    for (place, listing) in (0..).zip(listings) {
-        let mut entry = builder.reborrow().get(place);
+    for (index, listing) in (0..).zip(listings) {
+        let mut entry = builder.reborrow().get(index);
         entry.set_gone(listing.gone);
         entry.set_withdrawn(listing.withdrawn);
         write_endpoint(&listing.record, 0, entry.init_record());
     }
 }
 
-/// Reads how far replicas have told what they heard themselves.
+/// Reads the positions up to which the sender has received the changes of each replica.
 ///
 /// # Errors
-/// Fails where a name does not decode.
+/// Fails if a name cannot be decoded.
 pub fn read_heard(
     reader: struct_list::Reader<'_, schema::heard::Owned>,
 ) -> Result<BTreeMap<InstanceName, Heard>, WireError> {
@@ -57,13 +57,14 @@
     reader.iter().map(entry).collect()
 }
 
-/// Writes how far replicas have told what they heard themselves; the builder has room for all.
+/// Writes the positions up to which the sender has received the changes of each replica; the builder
+/// has the length of `heard`.
 pub fn write_heard(
     heard: &BTreeMap<InstanceName, Heard>,
     mut builder: struct_list::Builder<'_, schema::heard::Owned>,
 ) {
-    for (place, (replica, heard)) in (0..).zip(heard) {
-        let mut entry = builder.reborrow().get(place);
+    for (index, (replica, heard)) in (0..).zip(heard) {
+        let mut entry = builder.reborrow().get(index);
         entry.set_replica(replica.as_str());
         entry.set_epoch(heard.epoch);
         entry.set_change(heard.change);
--- a/crates/wire/src/convert/mod.rs
+++ b/crates/wire/src/convert/mod.rs
@@ -20,10 +20,10 @@
 use quick_error::quick_error;
 
 quick_error! {
-    /// A message that does not decode.
+    /// Why a message cannot be decoded.
     #[derive(Debug)]
     pub enum WireError {
-        /// The bytes break the encoding.
+        /// The bytes are not a valid Cap'n Proto message.
         Encoding(cause: capnp::Error) {
             display("malformed message: {}", cause)
             source(cause)
@@ -35,7 +35,7 @@
             source(cause)
             from()
         }
-        /// The message is of a kind that this version does not know.
+        /// A union or enum has a variant that this version does not know.
         Unknown(number: u16) {
             display("unknown kind {}", number)
             from(kind: capnp::NotInSchema) -> (kind.0)
--- a/crates/wire/src/convert/placement.rs
+++ b/crates/wire/src/convert/placement.rs
@@ -1,4 +1,4 @@
-//! Requests that ask for an endpoint, decisions, and what is reported back.
+//! Conversions of jobs that ask for an endpoint, of decisions, and of reported results.
 
 use super::{WireError, text};
 use crate::peer_capnp as schema;
@@ -8,10 +8,10 @@
 };
 use lycheehub_types::{AccountName, EndpointName};
 
-/// Reads a request of the instance that has the number `instance`.
+/// Reads a job of the instance with the number `instance`.
 ///
 /// # Errors
-/// Fails where the message does not decode.
+/// Fails if the message cannot be decoded.
 pub fn read_job(instance: u32, reader: schema::job::Reader<'_>) -> Result<Job, WireError> {
     let account = text(reader.get_account())?;
     let declared_tokens = reader.get_told_tokens();
@@ -44,7 +44,7 @@
     })
 }
 
-/// Writes a request.
+/// Writes a job.
 pub fn write_job(job: &Job, mut builder: schema::job::Builder<'_>) {
     builder.set_number(job.job_id.number);
     builder.set_service(job.service.as_str());
@@ -63,21 +63,21 @@
     builder.set_failure_domain(job.failure_domain.as_str());
     builder.set_repeat(job.repeat);
     let mut prefix = builder.reborrow().init_prefix(job.prefix.len() as u32);
-    for (place, part) in (0..).zip(&job.prefix) {
-        let mut entry = prefix.reborrow().get(place);
+    for (index, part) in (0..).zip(&job.prefix) {
+        let mut entry = prefix.reborrow().get(index);
         entry.set_id(part.id);
         entry.set_tokens(part.tokens);
     }
     let mut tried = builder.init_tried(job.tried.len() as u32);
-    for (place, name) in (0..).zip(&job.tried) {
-        tried.set(place, name.as_str());
+    for (index, name) in (0..).zip(&job.tried) {
+        tried.set(index, name.as_str());
     }
 }
 
-/// Reads a decision about the request `job_id`.
+/// Reads a decision on the job `job_id`.
 ///
 /// # Errors
-/// Fails where the message does not decode.
+/// Fails if the message cannot be decoded.
 pub fn read_decision(
     job_id: JobId,
     reader: schema::decision::Reader<'_>,
@@ -121,10 +121,10 @@
     }
 }
 
-/// Reads the ends of requests of the instance that has the number `instance`.
+/// Reads the results of finished jobs of the instance with the number `instance`.
 ///
 /// # Errors
-/// Fails where the message does not decode.
+/// Fails if the message cannot be decoded.
 pub fn read_finished(
     instance: u32,
     reader: struct_list::Reader<'_, schema::finished::Owned>,
@@ -141,13 +141,13 @@
     reader.iter().map(read).collect()
 }
 
-/// Writes the ends of requests; the builder has room for all of them.
+/// Writes the results of finished jobs; the builder has the length of `finished`.
 pub fn write_finished(
     finished: &[Finished],
     mut builder: struct_list::Builder<'_, schema::finished::Owned>,
 ) {
-    for (place, finished) in (0..).zip(finished) {
-        let mut entry = builder.reborrow().get(place);
+    for (index, finished) in (0..).zip(finished) {
+        let mut entry = builder.reborrow().get(index);
         entry.set_number(finished.job_id.number);
         entry.set_outcome(finished.outcome.into());
         entry.set_has_first_byte(finished.first_byte_ms.is_some());
@@ -157,10 +157,10 @@
     }
 }
 
-/// Reads what an instance has sent to endpoints.
+/// Reads the requests that an instance has in flight.
 ///
 /// # Errors
-/// Fails where the message does not decode.
+/// Fails if the message cannot be decoded.
 pub fn read_in_flight(
     reader: struct_list::Reader<'_, schema::in_flight::Owned>,
 ) -> Result<Vec<InFlight>, WireError> {
@@ -175,13 +175,13 @@
     reader.iter().map(read).collect()
 }
 
-/// Writes what an instance has sent to endpoints; the builder has room for all of it.
+/// Writes the requests that an instance has in flight; the builder has the length of `in_flight`.
 pub fn write_in_flight(
     in_flight: &[InFlight],
     mut builder: struct_list::Builder<'_, schema::in_flight::Owned>,
 ) {
-    for (place, request) in (0..).zip(in_flight) {
-        let mut entry = builder.reborrow().get(place);
+    for (index, request) in (0..).zip(in_flight) {
+        let mut entry = builder.reborrow().get(index);
         entry.set_number(request.number);
         entry.set_endpoint(request.endpoint.as_str());
         entry.set_memory_tokens(request.memory_tokens);
@@ -189,10 +189,10 @@
     }
 }
 
-/// Reads what client accounts have used at an instance.
+/// Reads the quota usage of client accounts at an instance.
 ///
 /// # Errors
-/// Fails where the message does not decode.
+/// Fails if the message cannot be decoded.
 pub fn read_usage(
     reader: struct_list::Reader<'_, schema::usage::Owned>,
 ) -> Result<Vec<Usage>, WireError> {
@@ -206,10 +206,10 @@
     reader.iter().map(read).collect()
 }
 
-/// Writes what client accounts have used at an instance; the builder has room for all of it.
+/// Writes the quota usage of client accounts at an instance; the builder has the length of `usage`.
 pub fn write_usage(usage: &[Usage], mut builder: struct_list::Builder<'_, schema::usage::Owned>) {
-    for (place, usage) in (0..).zip(usage) {
-        let mut entry = builder.reborrow().get(place);
+    for (index, usage) in (0..).zip(usage) {
+        let mut entry = builder.reborrow().get(index);
         entry.set_account(usage.account.as_str());
         entry.set_ago_ms(usage.ago_ms);
         entry.set_units(usage.units);
@@ -266,7 +266,7 @@
     }
 }
 
-/// Reads what an endpoint said of itself, and which incarnation of it, if that is known.
+/// Reads the notice of an endpoint about itself, and the incarnation that sent it, if known.
 pub fn read_notice(reader: schema::placement::heed_params::Reader<'_>) -> (Notice, Option<u64>) {
     let (pause_ms, incarnation) = (reader.get_pause_ms(), reader.get_incarnation());
     let pause_ms = (pause_ms > 0).then_some(pause_ms);
@@ -274,7 +274,7 @@
     (notice, (incarnation > 0).then_some(incarnation))
 }
 
-/// Writes what an endpoint said of itself, and which incarnation of it, if that is known.
+/// Writes the notice of an endpoint about itself, and the incarnation that sent it, if known.
 pub fn write_notice(
     notice: Notice,
     incarnation: Option<u64>,
--- a/crates/wire/src/convert/records.rs
+++ b/crates/wire/src/convert/records.rs
@@ -1,4 +1,4 @@
-//! Records of instances and endpoints.
+//! Conversions of the records of instances and endpoints.
 
 use super::{WireError, text};
 use crate::peer_capnp as schema;
@@ -94,47 +94,47 @@
     }
 }
 
-type Counts<'a> = capnp::struct_list::Reader<'a, schema::service_count::Owned>;
+type ServiceCounts<'a> = capnp::struct_list::Reader<'a, schema::service_count::Owned>;
 
-fn read_counts(reader: Counts<'_>) -> Result<BTreeMap<ServiceName, u32>, WireError> {
+fn read_counts(reader: ServiceCounts<'_>) -> Result<BTreeMap<ServiceName, u32>, WireError> {
     let pair = |count: schema::service_count::Reader<'_>| {
         Ok((ServiceName::from(text(count.get_service())?), count.get_count()))
     };
     reader.iter().map(pair).collect()
 }
 
-/// Writes changed records.
+/// Writes a delta of records and renewals.
 pub fn write_delta(delta: &Delta, mut builder: schema::delta::Builder<'_>) {
     let mut instances = builder.reborrow().init_instances(delta.instances.len() as u32);
-    for (at, (record, age_ms)) in delta.instances.iter().enumerate() {
-        write_instance(record, *age_ms, instances.reborrow().get(at as u32));
+    for (i, (record, age_ms)) in delta.instances.iter().enumerate() {
+        write_instance(record, *age_ms, instances.reborrow().get(i as u32));
     }
     let count = delta.instance_renewals.len() as u32;
     let mut renewals = builder.reborrow().init_instance_renewals(count);
-    for (at, (renewal, age_ms)) in delta.instance_renewals.iter().enumerate() {
-        let mut entry = renewals.reborrow().get(at as u32);
+    for (i, (renewal, age_ms)) in delta.instance_renewals.iter().enumerate() {
+        let mut entry = renewals.reborrow().get(i as u32);
         entry.set_key(renewal.key);
         entry.set_sequence(renewal.sequence);
         entry.set_revision_in_force(renewal.revision_in_force);
         entry.set_age_ms(u32::try_from(*age_ms).unwrap_or(u32::MAX));
     }
     let mut renewals = builder.reborrow().init_renewals(delta.renewals.len() as u32);
-    for (at, (renewal, age_ms)) in delta.renewals.iter().enumerate() {
-        write_renewal(renewal, *age_ms, renewals.reborrow().get(at as u32));
+    for (i, (renewal, age_ms)) in delta.renewals.iter().enumerate() {
+        write_renewal(renewal, *age_ms, renewals.reborrow().get(i as u32));
     }
     let mut endpoints = builder.init_endpoints(delta.endpoints.len() as u32);
-    for (at, (record, age_ms)) in delta.endpoints.iter().enumerate() {
-        write_endpoint(record, *age_ms, endpoints.reborrow().get(at as u32));
+    for (i, (record, age_ms)) in delta.endpoints.iter().enumerate() {
+        write_endpoint(record, *age_ms, endpoints.reborrow().get(i as u32));
     }
 }
 
 fn write_renewal(renewal: &Renewal, age_ms: u64, mut builder: schema::renewal::Builder<'_>) {
-    let short = |count: u32| u16::try_from(count).unwrap_or(u16::MAX);
+    let saturate_u16 = |count: u32| u16::try_from(count).unwrap_or(u16::MAX);
     builder.set_key(renewal.key);
     builder.set_sequence(renewal.sequence);
     builder.set_age_ms(u32::try_from(age_ms).unwrap_or(u32::MAX));
-    builder.set_running(short(renewal.load.running));
-    builder.set_waiting(short(renewal.load.waiting));
+    builder.set_running(saturate_u16(renewal.load.running));
+    builder.set_waiting(saturate_u16(renewal.load.waiting));
 }
 
 pub(super) fn write_endpoint(
@@ -176,8 +176,8 @@
     builder.set_stopping(record.stopping);
     builder.set_age_ms(age_ms);
     let mut floors = builder.init_shed_floor(record.shed_floor.len() as u32);
-    for (at, (service, tier)) in record.shed_floor.iter().enumerate() {
-        let mut floor = floors.reborrow().get(at as u32);
+    for (i, (service, tier)) in record.shed_floor.iter().enumerate() {
+        let mut floor = floors.reborrow().get(i as u32);
         floor.set_service(service.as_str());
         floor.set_count(u32::from(tier.rank()));
     }
--- a/crates/wire/src/convert/replies.rs
+++ b/crates/wire/src/convert/replies.rs
@@ -1,4 +1,4 @@
-//! Answers to proposals, and answers kept for resends.
+//! Conversions of replies to proposals and of responses kept for resends.
 
 use super::{WireError, text};
 use crate::peer_capnp as schema;
@@ -69,7 +69,7 @@
     }
 }
 
-/// Writes the answer to a proposal.
+/// Writes the reply to a proposal.
 pub fn write_propose_reply(reply: &ProposeReply, mut builder: schema::propose_reply::Builder<'_>) {
     match reply {
         ProposeReply::NotLeader => builder.set_not_leader(()),
@@ -131,7 +131,7 @@
     }
 }
 
-/// Writes what is known of an answer.
+/// Writes what is known about a response.
 pub fn write_kept_answer(answer: &KeptAnswer, mut builder: schema::kept_answer::Builder<'_>) {
     match answer {
         KeptAnswer::Gone => builder.set_gone(()),
--- a/crates/wire/src/convert/reports.rs
+++ b/crates/wire/src/convert/reports.rs
@@ -1,4 +1,4 @@
-//! Reports to the leader and their answers.
+//! Conversions of reports to the leader and of the replies to them.
 
 use super::{WireError, text};
 use crate::peer_capnp as schema;
@@ -21,8 +21,8 @@
             report.demands.insert(endpoint, demand.try_into()?);
         }
         for observation in reader.get_observations()? {
-            let (key, sum) = read_observation(observation)?;
-            report.observations.insert(key, sum);
+            let (key, observation) = read_observation(observation)?;
+            report.observations.insert(key, observation);
         }
         for trip in reader.get_trips()? {
             let move_id = SmolStr::new(text(trip.get_move_id())?);
@@ -52,14 +52,14 @@
         version: text(reader.get_version())?.into(),
         route: text(reader.get_route())?.into(),
     };
-    let sum = Observation {
+    let observation = Observation {
         requests: reader.get_requests(),
         failures: reader.get_failures().min(reader.get_requests()),
         timed: reader.get_timed(),
         log_time_sum: reader.get_log_time_sum(),
         log_time_square_sum: reader.get_log_time_square_sum(),
     };
-    Ok((key, sum))
+    Ok((key, observation))
 }
 
 impl TryFrom<schema::report_reply::Reader<'_>> for ReportReply {
@@ -80,8 +80,8 @@
     builder.set_instance(report.instance.as_str());
     builder.set_grants_digest(report.grants_digest);
     let mut demands = builder.reborrow().init_demands(report.demands.len() as u32);
-    for (at, (endpoint, demand)) in report.demands.iter().enumerate() {
-        let mut entry = demands.reborrow().get(at as u32);
+    for (i, (endpoint, demand)) in report.demands.iter().enumerate() {
+        let mut entry = demands.reborrow().get(i as u32);
         entry.set_endpoint(endpoint.as_str());
         entry.set_in_use(demand.in_use);
         let mut wanted = entry.init_wanted(demand.wanted.len() as u32);
@@ -90,12 +90,12 @@
         }
     }
     let mut observations = builder.reborrow().init_observations(report.observations.len() as u32);
-    for (at, (key, sum)) in report.observations.iter().enumerate() {
-        write_observation(key, sum, observations.reborrow().get(at as u32));
+    for (i, (key, observation)) in report.observations.iter().enumerate() {
+        write_observation(key, observation, observations.reborrow().get(i as u32));
     }
     let mut trips = builder.init_trips(report.trips.len() as u32);
-    for (at, (move_id, reason)) in report.trips.iter().enumerate() {
-        let mut trip = trips.reborrow().get(at as u32);
+    for (i, (move_id, reason)) in report.trips.iter().enumerate() {
+        let mut trip = trips.reborrow().get(i as u32);
         trip.set_move_id(&**move_id);
         trip.set_reason(&**reason);
     }
@@ -103,26 +103,26 @@
 
 fn write_observation(
     key: &ObservationKey,
-    sum: &Observation,
+    observation: &Observation,
     mut builder: schema::observation::Builder<'_>,
 ) {
     builder.set_service(key.service.as_str());
     builder.set_version(key.version.as_str());
     builder.set_route(key.route.as_str());
-    builder.set_requests(sum.requests);
-    builder.set_failures(sum.failures);
-    builder.set_timed(sum.timed);
-    builder.set_log_time_sum(sum.log_time_sum);
-    builder.set_log_time_square_sum(sum.log_time_square_sum);
+    builder.set_requests(observation.requests);
+    builder.set_failures(observation.failures);
+    builder.set_timed(observation.timed);
+    builder.set_log_time_sum(observation.log_time_sum);
+    builder.set_log_time_square_sum(observation.log_time_square_sum);
 }
 
-/// Writes the answer to a report.
+/// Writes the reply to a report.
 pub fn write_report_reply(reply: &ReportReply, mut builder: schema::report_reply::Builder<'_>) {
     builder.set_taken(reply.taken);
     builder.set_same(reply.same);
     let mut grants = builder.init_grants(reply.grants.len() as u32);
-    for (at, (endpoint, slots)) in reply.grants.iter().enumerate() {
-        let mut grant = grants.reborrow().get(at as u32);
+    for (i, (endpoint, slots)) in reply.grants.iter().enumerate() {
+        let mut grant = grants.reborrow().get(i as u32);
         grant.set_endpoint(endpoint.as_str());
         grant.set_slots(*slots);
     }
--- a/crates/wire/src/lib.rs
+++ b/crates/wire/src/lib.rs
@@ -1,7 +1,7 @@
 //! The peer protocol: the schema, its generated code, and the conversions between its messages and
 //! the types of the other crates.
 //!
-//! The generated code is committed. `just schema` makes it anew from `schema/peer.capnp`.
+//! The generated code is committed. `just schema` regenerates it from `schema/peer.capnp`.
 #![deny(missing_docs, rust_2018_idioms)]
 #![forbid(unsafe_code)]
 
--- a/crates/wire/src/types.rs
+++ b/crates/wire/src/types.rs
@@ -1,4 +1,4 @@
-//! Messages that no other crate has a type for.
+//! Messages for which no other crate defines a type.
 
 use lycheehub_control::moves::Observations;
 use lycheehub_control::slots::Demand;
@@ -7,61 +7,61 @@
 use smol_str::SmolStr;
 use std::collections::BTreeMap;
 
-/// What an instance tells the leader.
+/// The periodic report of an instance to the leader.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Report {
-    /// The sender.
+    /// The reporting instance.
     pub instance: InstanceName,
-    /// What it wants of each endpoint.
+    /// The demand for slots, by endpoint.
     pub demands: BTreeMap<EndpointName, Demand>,
-    /// What it observed of versions since its last report.
+    /// The observations of versions since the last report.
     pub observations: Observations,
-    /// The moves whose version it stopped sending to, with the reason.
+    /// The moves whose version the instance no longer sends requests to, with the reason.
     pub trips: BTreeMap<SmolStr, SmolStr>,
-    /// A digest of the grants that the sender holds.
+    /// A digest of the slot grants that the instance holds.
     pub grants_digest: u64,
 }
 
-/// The leader's answer to a [`Report`].
+/// The reply to a [`Report`].
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct ReportReply {
-    /// Whether the receiver leads and so took the report.
+    /// Whether the receiver is the leader and accepted the report.
     pub taken: bool,
-    /// The slots granted, by endpoint; none where they are the same.
+    /// The granted slots by endpoint; empty if `same` is set.
     pub grants: BTreeMap<EndpointName, u32>,
-    /// The grants are those that the sender of the report holds.
+    /// Whether the grants are those that the reporting instance already holds.
     pub same: bool,
 }
 
-/// The answer to a proposed command.
+/// The reply to a proposed command.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ProposeReply {
-    /// The receiver does not lead; nothing was changed.
+    /// The receiver is not the leader; nothing was changed.
     NotLeader,
-    /// The command may yet be committed.
+    /// The result is unknown: the command may still be committed.
     Unknown,
     /// The command was committed, with this result.
     Done(Reply),
 }
 
-/// A whole answer, as kept for resends.
+/// A complete response, as kept for resends.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Answer {
     /// The HTTP status.
     pub status: u16,
-    /// The content type.
+    /// The value of the `Content-Type` header.
     pub content_type: SmolStr,
-    /// The body.
+    /// The response body.
     pub body: Vec<u8>,
 }
 
-/// What an instance knows of the answer to a request that it dispatched.
+/// What an instance knows about the response to a request that it dispatched.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum KeptAnswer {
-    /// No answer is kept.
+    /// No response is kept.
     Gone,
-    /// The request still runs.
+    /// The request is still running.
     Running,
-    /// The answer.
+    /// The response.
     Answered(Answer),
 }
