--- a/crates/gateway/src/serve/mod.rs
+++ b/crates/gateway/src/serve/mod.rs
@@ -38,7 +38,7 @@
 /// Serves a request that has passed the filters.
 ///
 /// The request runs in its own task. If the caller disconnects, the task keeps running if the
-/// request holds an idempotency key, or if a plain service runs it and it is not idempotent; any
+/// request carries an idempotency key, or if a plain service runs it and it is not idempotent; any
 /// other task is cancelled.
 pub async fn serve(gateway: &Arc<Gateway>, exchange: Exchange) -> Response {
     let Some(payload) = exchange.payload.clone() else {
