--- a/crates/cli/src/serve/wire_up.rs
+++ b/crates/cli/src/serve/wire_up.rs
@@ -3,10 +3,10 @@
 use crate::exit::{Code, Error};
 use crate::settings::Loaded;
 use lycheehub_clock::{Clock, TimerService};
-use lycheehub_gateway::answers::KeptAnswers;
-use lycheehub_gateway::dispatcher::Dispatcher;
 use lycheehub_gateway::orders::OrderSender;
-use lycheehub_gateway::serve::Pool;
+use lycheehub_gateway::responses::ResponseStore;
+use lycheehub_gateway::scheduler::SharedScheduler;
+use lycheehub_gateway::serve::ConnectionPool;
 use lycheehub_gateway::{Gateway, http};
 use lycheehub_peer::{
     Control, ControlRequest, Dependencies, Node, Settings as PeerSettings, Views,
@@ -42,8 +42,8 @@
     let timers = Arc::new(TimerService::new(clock));
     let views = Views::default();
     let limits = &loaded.gateway;
-    let answers =
-        Arc::new(KeptAnswers::new(clock, limits.answer_retention_ms, limits.answers_max_bytes));
+    let responses =
+        Arc::new(ResponseStore::new(clock, limits.answer_retention_ms, limits.answers_max_bytes));
     let (sender, requests) = unbounded();
     let parts = ControlParts {
         settings: loaded.peer,
@@ -51,7 +51,7 @@
         timers: timers.clone(),
         views: views.clone(),
         outside: Dependencies {
-            answers: answers.clone(),
+            answers: responses.clone(),
             orders: Arc::new(OrderSender::new(clock, executor.clone())),
         },
         listener: peer,
@@ -64,16 +64,16 @@
         clock,
         views,
         control: Control::new(sender),
-        dispatcher: Dispatcher::new(clock, scheduler),
-        answers,
-        pool: Pool::default(),
+        scheduler: SharedScheduler::new(clock, scheduler),
+        responses,
+        pool: ConnectionPool::default(),
         metrics: start_metrics()?,
         executor,
         incarnation,
-        requests: AtomicU64::new(0),
+        last_request_number: AtomicU64::new(0),
         connections: AtomicUsize::new(0),
         exchanges: AtomicUsize::new(0),
-        background: AtomicUsize::new(0),
+        request_tasks: AtomicUsize::new(0),
         draining: AtomicBool::new(false),
         stopping: AtomicBool::new(false),
     });
