--- a/crates/cli/src/main.rs
+++ b/crates/cli/src/main.rs
@@ -1,10 +1,11 @@
-//! The lycheehub daemon and operators' command line.
+//! The lycheehub daemon and its command line for operators.
 //!
-//! * [`arguments`] is the command line.
-//! * [`settings`] is the settings file.
-//! * [`serve`] is the daemon; [`roles`] are the daemons on the users' platform.
-//! * [`client`] is what operators call.
-//! * [`check`] checks files without a daemon.
+//! * [`arguments`] defines the commands and their options.
+//! * [`settings`] reads the settings file.
+//! * [`serve`] runs a standalone instance; [`roles`] runs entry and control instances on the
+//!   deployment platform.
+//! * [`client`] implements the commands that call instances.
+//! * [`check`] validates files without a daemon.
 //! * [`trace`] follows a request through log files.
 #![deny(missing_docs, rust_2018_idioms)]
 #![forbid(unsafe_code)]
--- a/crates/cli/src/roles/control.rs
+++ b/crates/cli/src/roles/control.rs
@@ -1,7 +1,7 @@
-//! A control instance: holds a replica, hears endpoints and operators, and places requests while
-//! it leads.
+//! A control instance: it holds a control replica, serves endpoints and operators, and places
+//! requests while it is the leader.
 
-use super::{http, needed, serve_metrics, start_thread, wait_for_stop};
+use super::{http, require_address, serve_metrics, start_thread, wait_for_stop};
 use crate::exit::{Code, Error};
 use crate::serve::listen;
 use lycheehub_clock::{Clock, TimerService};
@@ -17,12 +17,12 @@
 use std::rc::Rc;
 use std::sync::Arc;
 
-/// Serves until the process is told to stop.
+/// Serves until a signal stops the process.
 pub(super) async fn serve(
     executor: Rc<LocalExecutor<'static>>,
     deployment: Deployment,
 ) -> Result<(), Error> {
-    let address = needed(deployment.control, "endpoints and operators")?;
+    let address = require_address(deployment.control, "endpoints and operators")?;
     let calls = listen("endpoints and operators", address).await?;
     let peers = listen("peers", deployment.peers).await?;
     let (sender, requests) = unbounded();
@@ -35,27 +35,28 @@
         may_found = deployment.peer.may_found,
         copies_min = deployment.peer.copies_min as u64,
     });
-    let own: smol_str::SmolStr = address.to_string().into();
-    let answering = control.clone();
-    let answer = move |request| {
-        let (control, own) = (answering.clone(), own.clone());
-        async move { calls::answer_control(&control, &own, request).await }
+    let own_address: smol_str::SmolStr = address.to_string().into();
+    let handler_control = control.clone();
+    let handler = move |request| {
+        let (control, own_address) = (handler_control.clone(), own_address.clone());
+        async move { calls::answer_control(&control, &own_address, request).await }
     };
-    executor.spawn(http::serve(executor.clone(), calls, answer)).detach();
-    wait_for_stop(|| spdlog::info!("settings changed: nothing to reload")).await?;
+    executor.spawn(http::serve(executor.clone(), calls, handler)).detach();
+    wait_for_stop(|| spdlog::info!("reload ignored: a control instance has no settings to reload"))
+        .await?;
     spdlog::info!("stopping");
     control.stop().await;
     spdlog::info!("stopped");
     Ok(())
 }
 
-/// Starts the control thread; returns once its state is open.
+/// Starts the control thread and waits until its node is open.
 async fn start_control(
     deployment: &Deployment,
     listener: TcpListener,
     requests: Receiver<ControlRequest>,
 ) -> Result<(), Error> {
-    let (opened, wait) = bounded(1);
+    let (result_sender, result_receiver) = bounded(1);
     let settings = deployment.peer.clone();
     let run = move || {
         let clock = Clock::new();
@@ -67,15 +68,15 @@
         let seed = rand::rng().next_u64();
         let node = Node::open(settings, clock, timers.clone(), Views::default(), outside, seed);
         let result = node.as_ref().map(|_| ()).map_err(ToString::to_string);
-        // The starting thread waits for this answer.
-        let _ = opened.try_send(result);
+        // Ignored: sending fails only if the starting thread no longer waits for the result.
+        let _ = result_sender.try_send(result);
         if let Ok(node) = node {
             node.run_with(listener, requests, async move { timers.run().await });
         }
     };
     start_thread("control", run)?;
-    let opened = wait.recv().await;
-    opened.unwrap_or_else(|_| Err("the control thread ended".to_owned())).map_err(|message| {
+    let result = result_receiver.recv().await;
+    result.unwrap_or_else(|_| Err("the control thread ended".to_owned())).map_err(|message| {
         Error::new(Code::Failed, format!("cannot open the data folder: {message}"))
     })
 }
--- a/crates/cli/src/roles/entry.rs
+++ b/crates/cli/src/roles/entry.rs
@@ -1,6 +1,6 @@
-//! An entry instance: takes the requests of callers.
+//! An entry instance: it serves the requests of callers.
 
-use super::{http, load, needed, serve_metrics, start_thread, wait_for_stop};
+use super::{http, load, require_address, serve_metrics, start_thread, wait_for_stop};
 use crate::exit::Error;
 use crate::serve::listen;
 use lycheehub_clock::{Clock, TimerService};
@@ -16,19 +16,19 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// How long an endpoint may take to accept a connection, in milliseconds.
+/// The timeout for connecting to an endpoint, in milliseconds.
 const CONNECT_TIMEOUT_MS: u64 = 200;
-/// How long the balancer takes to leave an instance alone that is not ready, in milliseconds: two
-/// questions, one a second, and some delay.
-const BALANCER_MS: u64 = 2_700;
-/// How much before the end of the time for a stop the process ends, in milliseconds.
+/// How long the load balancer takes to stop using an instance that is not ready, in milliseconds:
+/// two readiness checks, one per second, and some delay.
+const BALANCER_DELAY_MS: u64 = 2_700;
+/// How long before the stop timeout the process ends, in milliseconds.
 const STOP_RESERVE_MS: u64 = 400;
-/// How often the end of the last request is looked for, in milliseconds.
-const LOOK_MS: u64 = 20;
-/// How often idle connections to endpoints are looked at, in milliseconds.
-const POOL_MS: u64 = 1_000;
+/// The interval between checks for unfinished requests, in milliseconds.
+const POLL_INTERVAL_MS: u64 = 20;
+/// The interval between checks of idle connections to endpoints, in milliseconds.
+const POOL_SWEEP_MS: u64 = 1_000;
 
-/// The newest view, as requests are answered by it.
+/// Takes a snapshot of the latest view for each request.
 struct ViewSnapshots(Arc<Latest<EntryView>>);
 
 impl Snapshots for ViewSnapshots {
@@ -38,14 +38,15 @@
     }
 }
 
-/// Serves until the process is told to stop.
+/// Serves until a signal stops the process.
 pub(super) async fn serve(
     executor: Rc<LocalExecutor<'static>>,
     deployment: Deployment,
 ) -> Result<(), Error> {
-    let callers_address = needed(deployment.callers, "callers")?;
+    let callers_address = require_address(deployment.callers, "callers")?;
     let callers = listen("callers", callers_address).await?;
-    let readiness = listen("readiness", needed(deployment.readiness, "readiness")?).await?;
+    let readiness =
+        listen("readiness", require_address(deployment.readiness, "readiness")?).await?;
     serve_metrics(&executor, &deployment, None).await?;
     let clock = Clock::new();
     let views = Arc::new(Latest::new(EntryView::default()));
@@ -70,13 +71,13 @@
         executor.clone(),
     );
     executor.spawn(server::serve(entry.clone(), callers)).detach();
-    executor.spawn(close_old(entry.clone())).detach();
-    let asked = entry.clone();
-    let answer = move |request| {
-        let response = calls::answer_ready(asked.is_ready(), &request);
+    executor.spawn(sweep_idle_connections(entry.clone())).detach();
+    let readiness_entry = entry.clone();
+    let handler = move |request| {
+        let response = calls::answer_ready(readiness_entry.is_ready(), &request);
         async move { response }
     };
-    executor.spawn(http::serve(executor.clone(), readiness, answer)).detach();
+    executor.spawn(http::serve(executor.clone(), readiness, handler)).detach();
     spdlog::info!("entry instance started", kv: {
         machine = deployment.machine,
         callers: = callers_address,
@@ -87,12 +88,12 @@
     Ok(())
 }
 
-/// Reads the settings again and takes over the addresses of seeds.
+/// Reloads the settings and sends the seed addresses to the control thread.
 fn reload(seeds: &smol::channel::Sender<Vec<Seed>>) {
     match load() {
         Ok(deployment) => {
             spdlog::info!("settings read again", kv: { seeds = deployment.peer.seeds.len() as u64 });
-            // A full channel holds seeds that are as new.
+            // A full channel holds seeds of a reload that the control thread has not read yet.
             let _ = seeds.try_send(deployment.peer.seeds);
         }
         Err(error) => spdlog::error!("settings not read again", kv: { error: = error }),
@@ -114,7 +115,7 @@
     start_thread("control", run)
 }
 
-/// Passes each new view on to the placement.
+/// Passes each new view to the placement.
 async fn follow_views(views: Arc<Latest<EntryView>>, placement: Rc<LeaderPlacement>) {
     let mut document_revision = 0;
     loop {
@@ -125,25 +126,26 @@
     }
 }
 
-async fn close_old(entry: Rc<Entry>) {
+async fn sweep_idle_connections(entry: Rc<Entry>) {
     loop {
-        Timer::after(Duration::from_millis(POOL_MS)).await;
+        Timer::after(Duration::from_millis(POOL_SWEEP_MS)).await;
         entry.pool.close_old(entry.clock.now_ms());
     }
 }
 
-/// Stops the instance: first not ready, then nothing idle, then the end of all that runs.
+/// Stops the instance: it reports that it is not ready, closes idle connections once the balancer
+/// has stopped using it, and then waits for unfinished requests.
 async fn stop(entry: &Entry, timeout_ms: u64) {
     let started_ms = entry.clock.now_ms();
     let unfinished = entry.exchanges.get() as u64;
     spdlog::info!("stopping: not ready", kv: { unfinished, timeout_ms });
-    let give_up_ms = started_ms + timeout_ms.saturating_sub(STOP_RESERVE_MS);
-    let refuses_from_ms = started_ms + BALANCER_MS;
-    entry.begin_stop(Stop { refuses_from_ms, ends_ms: give_up_ms });
-    Timer::after(Duration::from_millis(BALANCER_MS)).await;
+    let exit_at_ms = started_ms + timeout_ms.saturating_sub(STOP_RESERVE_MS);
+    let refuses_from_ms = started_ms + BALANCER_DELAY_MS;
+    entry.begin_stop(Stop { refuses_from_ms, ends_ms: exit_at_ms });
+    Timer::after(Duration::from_millis(BALANCER_DELAY_MS)).await;
     entry.close_idle();
-    while entry.exchanges.get() > 0 && entry.clock.now_ms() < give_up_ms {
-        Timer::after(Duration::from_millis(LOOK_MS)).await;
+    while entry.exchanges.get() > 0 && entry.clock.now_ms() < exit_at_ms {
+        Timer::after(Duration::from_millis(POLL_INTERVAL_MS)).await;
     }
     spdlog::info!("stopped", kv: { unfinished = entry.exchanges.get() as u64 });
 }
--- a/crates/cli/src/roles/http.rs
+++ b/crates/cli/src/roles/http.rs
@@ -1,4 +1,4 @@
-//! Small HTTP servers: calls of endpoints and operators, readiness, metrics.
+//! A minimal HTTP server for requests of endpoints and operators, readiness checks and metrics.
 
 use http_types::{Request, Response, StatusCode};
 use metrics_exporter_prometheus::PrometheusHandle;
@@ -7,12 +7,12 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// How long to wait after a connection could not be accepted, in milliseconds.
-const ACCEPT_AGAIN_MS: u64 = 50;
+/// The delay after a failed accept, in milliseconds.
+const ACCEPT_RETRY_MS: u64 = 50;
 /// The path of the metrics.
 const METRICS_PATH: &str = "/metrics";
 
-/// Answers each request that comes to `listener` by `handler`.
+/// Accepts connections on `listener` and answers each request with `handler`.
 pub(super) async fn serve<H, F>(
     executor: Rc<LocalExecutor<'static>>,
     listener: TcpListener,
@@ -27,8 +27,8 @@
                 executor.spawn(serve_connection(stream, handler.clone())).detach();
             }
             Err(error) => {
-                spdlog::warn!("connection not accepted", kv: { error: });
-                Timer::after(Duration::from_millis(ACCEPT_AGAIN_MS)).await;
+                spdlog::warn!("cannot accept a connection", kv: { error: });
+                Timer::after(Duration::from_millis(ACCEPT_RETRY_MS)).await;
             }
         }
     }
@@ -40,18 +40,18 @@
     F: Future<Output = Response>,
 {
     if let Err(error) = stream.set_nodelay(true) {
-        return spdlog::debug!("connection lost at once", kv: { error: });
+        return spdlog::debug!("cannot set TCP_NODELAY; closing the connection", kv: { error: });
     }
-    let answer = |request| {
-        let answering = handler(request);
-        async move { Ok(answering.await) }
+    let service = |request| {
+        let response = handler(request);
+        async move { Ok(response.await) }
     };
-    if let Err(error) = async_h1::accept(stream, answer).await {
+    if let Err(error) = async_h1::accept(stream, service).await {
         spdlog::debug!("connection ended", kv: { error: });
     }
 }
 
-/// Answers with the metrics.
+/// Answers a request for the metrics; any other path is not found.
 pub(super) fn metrics(handle: &PrometheusHandle, request: &Request) -> Response {
     if request.url().path() != METRICS_PATH {
         return Response::new(StatusCode::NotFound);
--- a/crates/cli/src/roles/lists.rs
+++ b/crates/cli/src/roles/lists.rs
@@ -1,4 +1,4 @@
-//! What operators read of a control instance: endpoints and instances.
+//! A control instance's lists of endpoints and instances, for operators.
 
 use http_types::{Method, Request, Response, StatusCode};
 use lycheehub_gateway::http::json;
@@ -63,7 +63,7 @@
     }
 }
 
-/// Answers an operator's call; nothing where `request` is none.
+/// Answers an operator's request for a list; returns `None` for any other request.
 pub(super) async fn answer(control: &Control, request: &Request) -> Option<Response> {
     let path = request.url().path().strip_prefix("/v1/operators/")?;
     if request.method() != Method::Get || !matches!(path, "endpoints" | "instances") {
--- a/crates/cli/src/roles/mod.rs
+++ b/crates/cli/src/roles/mod.rs
@@ -1,4 +1,4 @@
-//! The daemons on the users' platform: entry instances and control instances.
+//! Runs entry and control instances on the deployment platform.
 
 mod control;
 mod entry;
@@ -16,34 +16,34 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 
-/// Runs an entry instance until it is told to stop.
+/// Runs an entry instance until a signal stops it.
 pub fn run_entry() -> Result<(), Error> {
     run(entry::serve)
 }
 
-/// Runs a control instance until it is told to stop.
+/// Runs a control instance until a signal stops it.
 pub fn run_control() -> Result<(), Error> {
     run(control::serve)
 }
 
-/// The port at which metrics are served on the platform, as its deploy file says.
+/// The metrics port, as set in the platform's deployment file.
 const METRICS_PORT: u16 = 9464;
 
-/// Runs a role until it is told to stop.
+/// Loads the settings, starts the log and runs a role until it stops.
 fn run<F>(serve: impl FnOnce(Rc<LocalExecutor<'static>>, Deployment) -> F) -> Result<(), Error>
 where
     F: Future<Output = Result<(), Error>>,
 {
     let deployment = load()?;
     log::start_bounded(LogFormat::Json, false)?;
-    log::end_on_panic();
+    log::exit_on_panic();
     let executor = Rc::new(LocalExecutor::new());
     let result = smol::block_on(executor.run(serve(executor.clone(), deployment)));
     log::flush();
     result
 }
 
-/// Starts a thread of a role.
+/// Starts a named thread.
 fn start_thread(name: &str, run: impl FnOnce() + Send + 'static) -> Result<(), Error> {
     let started = std::thread::Builder::new().name(name.to_owned()).spawn(run);
     started
@@ -51,7 +51,7 @@
         .map_err(|error| Error::new(Code::Failed, format!("cannot start a thread: {error}")))
 }
 
-/// Listens for operators, and serves metrics and, of a control instance, its lists.
+/// Serves metrics to operators and, on a control instance, its lists of endpoints and instances.
 async fn serve_metrics(
     executor: &Rc<LocalExecutor<'static>>,
     deployment: &Deployment,
@@ -59,7 +59,7 @@
 ) -> Result<(), Error> {
     let listener = listen("metrics", SocketAddr::new(deployment.ip, METRICS_PORT)).await?;
     let handle = start_metrics()?;
-    let answer = move |request| {
+    let handler = move |request| {
         let (handle, control) = (handle.clone(), control.clone());
         async move {
             if let Some(control) = control
@@ -70,7 +70,7 @@
             http::metrics(&handle, &request)
         }
     };
-    executor.spawn(http::serve(executor.clone(), listener, answer)).detach();
+    executor.spawn(http::serve(executor.clone(), listener, handler)).detach();
     Ok(())
 }
 
@@ -84,14 +84,14 @@
     settings::read(&text).map_err(|error| Error::new(Code::Invalid, error.to_string()))
 }
 
-/// Returns an address that the role needs.
-fn needed(address: Option<SocketAddr>, what: &str) -> Result<SocketAddr, Error> {
-    address.ok_or_else(|| Error::new(Code::Invalid, format!("settings: no address for {what}")))
+/// Returns an address that the role requires, or an error that names its purpose.
+fn require_address(address: Option<SocketAddr>, purpose: &str) -> Result<SocketAddr, Error> {
+    address.ok_or_else(|| Error::new(Code::Invalid, format!("settings: no address for {purpose}")))
 }
 
-/// Waits for a signal that stops the process; calls `reload` at each that asks for a reload.
+/// Waits for a signal that stops the process; calls `reload` on each SIGHUP.
 async fn wait_for_stop(mut reload: impl FnMut()) -> Result<(), Error> {
-    let fail = |error| Error::new(Code::Failed, format!("cannot take signals: {error}"));
+    let fail = |error| Error::new(Code::Failed, format!("cannot register for signals: {error}"));
     let mut signals = Signals::new([Signal::Term, Signal::Int, Signal::Hup]).map_err(fail)?;
     while let Some(Ok(Signal::Hup)) = signals.next().await {
         reload();
--- a/crates/cli/src/serve/bounded.rs
+++ b/crates/cli/src/serve/bounded.rs
@@ -1,5 +1,5 @@
-//! A sink of the log that never waits: lines go to a bounded buffer, and a thread writes them to
-//! standard output.
+//! A log sink that never blocks its callers on output: lines go to a bounded buffer, and a
+//! background thread writes them to standard output.
 
 use spdlog::formatter::FormatterContext;
 use spdlog::sink::{GetSinkProp, Sink, SinkProp};
@@ -8,59 +8,59 @@
 use std::sync::{Arc, Condvar, Mutex, MutexGuard, PoisonError};
 use std::time::Duration;
 
-/// The most bytes that wait to be written.
-const WAITING_MAX_BYTES: usize = 256 * 1024;
-/// How long lines are gathered before they are written together, in milliseconds.
-const GATHER_MS: u64 = 100;
+/// The capacity of the buffer, in bytes; lines that do not fit are dropped and counted.
+const BUFFER_MAX_BYTES: usize = 256 * 1024;
+/// How long the writer waits after a first line to write lines in batches, in milliseconds.
+const BATCH_DELAY_MS: u64 = 100;
 
 #[derive(Default)]
-struct Waiting {
+struct Buffer {
     lines: Vec<u8>,
     dropped: u64,
 }
 
-/// The sink.
+/// A sink that buffers lines for its writer thread.
 pub(super) struct BoundedSink {
     prop: SinkProp,
-    waiting: Mutex<Waiting>,
-    arrived: Condvar,
+    buffer: Mutex<Buffer>,
+    not_empty: Condvar,
 }
 
 impl BoundedSink {
-    /// Makes a sink and starts the thread that writes.
+    /// Creates a sink and starts its writer thread.
     pub(super) fn start(prop: SinkProp) -> std::io::Result<Arc<Self>> {
-        let sink = Arc::new(Self { prop, waiting: Mutex::default(), arrived: Condvar::new() });
+        let sink = Arc::new(Self { prop, buffer: Mutex::default(), not_empty: Condvar::new() });
         let writer = sink.clone();
         let thread = std::thread::Builder::new().name("log".to_owned());
-        thread.spawn(move || writer.write_for_ever())?;
+        thread.spawn(move || writer.write_loop())?;
         Ok(sink)
     }
 
-    fn lock(&self) -> MutexGuard<'_, Waiting> {
-        self.waiting.lock().unwrap_or_else(PoisonError::into_inner)
+    fn lock(&self) -> MutexGuard<'_, Buffer> {
+        self.buffer.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    fn write_for_ever(&self) {
+    fn write_loop(&self) {
         loop {
-            let mut waiting = self.lock();
-            while waiting.lines.is_empty() {
-                waiting = self.arrived.wait(waiting).unwrap_or_else(PoisonError::into_inner);
+            let mut buffer = self.lock();
+            while buffer.lines.is_empty() {
+                buffer = self.not_empty.wait(buffer).unwrap_or_else(PoisonError::into_inner);
             }
-            drop(waiting);
-            std::thread::sleep(Duration::from_millis(GATHER_MS));
-            self.write_waiting();
+            drop(buffer);
+            std::thread::sleep(Duration::from_millis(BATCH_DELAY_MS));
+            self.write_buffered();
         }
     }
 
-    fn write_waiting(&self) {
-        let Waiting { mut lines, dropped } = std::mem::take(&mut *self.lock());
+    fn write_buffered(&self) {
+        let Buffer { mut lines, dropped } = std::mem::take(&mut *self.lock());
         if dropped > 0 {
             let line = format!(
                 "{{\"level\":\"warn\",\"payload\":\"log lines dropped\",\"kv\":{{\"count\":{dropped}}}}}\n"
             );
             lines.extend_from_slice(line.as_bytes());
         }
-        // Nobody reads a closed output, and there is nowhere else to say so.
+        // A write fails when standard output is closed; there is nowhere else to report it.
         let _ = std::io::stdout().write_all(&lines);
     }
 }
@@ -76,22 +76,22 @@
         let mut line = StringBuf::new();
         let mut context = FormatterContext::new();
         self.prop.formatter().format(record, &mut line, &mut context)?;
-        let mut waiting = self.lock();
-        if waiting.lines.len() + line.len() > WAITING_MAX_BYTES {
-            waiting.dropped += 1;
+        let mut buffer = self.lock();
+        if buffer.lines.len() + line.len() > BUFFER_MAX_BYTES {
+            buffer.dropped += 1;
             return Ok(());
         }
-        let was_empty = waiting.lines.is_empty();
-        waiting.lines.extend_from_slice(line.as_bytes());
-        drop(waiting);
+        let was_empty = buffer.lines.is_empty();
+        buffer.lines.extend_from_slice(line.as_bytes());
+        drop(buffer);
         if was_empty {
-            self.arrived.notify_one();
+            self.not_empty.notify_one();
         }
         Ok(())
     }
 
     fn flush(&self) -> spdlog::Result<()> {
-        self.write_waiting();
+        self.write_buffered();
         Ok(())
     }
 }
--- a/crates/cli/src/serve/log.rs
+++ b/crates/cli/src/serve/log.rs
@@ -1,4 +1,4 @@
-//! The log: one line for each decision.
+//! Sets up the log, which has one line for each decision.
 
 use super::bounded::BoundedSink;
 use crate::exit::{Code, Error};
@@ -8,14 +8,15 @@
 use spdlog::{Level, LevelFilter, Logger};
 use std::sync::Arc;
 
-/// The exit code of a process that ended by a panic, as the runtime's own handler has it.
+/// The exit code after a panic, the same as that of the default panic handler.
 const PANIC_EXIT_CODE: i32 = 101;
 
 fn fail(error: impl std::fmt::Display) -> Error {
     Error::new(Code::Failed, format!("cannot start the log: {error}"))
 }
 
-/// Starts the log on standard output, by a buffer that nobody waits for.
+/// Starts the log on standard output, through a bounded buffer, so that logging never blocks on
+/// output.
 pub(crate) fn start_bounded(format: LogFormat, debug: bool) -> Result<(), Error> {
     let prop = SinkProp::default();
     match format {
@@ -25,21 +26,21 @@
     set_logger(BoundedSink::start(prop).map_err(fail)?, debug)
 }
 
-/// Has a panic of any thread leave a line in the log and end the process: an instance of which one
-/// thread is gone would go on taking requests that nobody answers.
-pub(crate) fn end_on_panic() {
+/// Installs a panic hook that logs the panic and ends the process. An instance that has lost a
+/// thread would otherwise continue to accept requests that never get a response.
+pub(crate) fn exit_on_panic() {
     std::panic::set_hook(Box::new(|panic| {
-        let place = panic.location().map(ToString::to_string).unwrap_or_default();
+        let location = panic.location().map(ToString::to_string).unwrap_or_default();
         let message = panic.payload_as_str().unwrap_or("no message");
         let thread = std::thread::current().name().unwrap_or("unnamed").to_owned();
-        spdlog::critical!("panic: the process ends", kv: { message, place: = place, thread: = thread });
+        spdlog::critical!("panic: the process ends", kv: { message, place: = location, thread: = thread });
         flush();
-        eprintln!("lycheehub: panic in thread {thread} at {place}: {message}");
+        eprintln!("lycheehub: panic in thread {thread} at {location}: {message}");
         std::process::exit(PANIC_EXIT_CODE);
     }));
 }
 
-/// Writes what waits in the buffer.
+/// Writes buffered lines.
 pub(crate) fn flush() {
     spdlog::default_logger().flush();
 }
--- a/crates/cli/src/serve/mod.rs
+++ b/crates/cli/src/serve/mod.rs
@@ -1,4 +1,4 @@
-//! The daemon.
+//! Runs a standalone instance.
 
 mod bounded;
 pub(crate) mod log;
@@ -9,55 +9,58 @@
 
 use crate::arguments::Serve;
 use crate::exit::{Code, Error};
-use crate::settings::{self, Loaded};
+use crate::settings::{self, InstanceSettings};
 use smol::net::TcpListener;
 use smol::{Executor, Timer};
 use std::io::ErrorKind;
 use std::sync::Arc;
 use std::time::Duration;
 
-/// How often an address in use is tried.
-const LISTEN_TRIES: u32 = 20;
-/// How long to wait before it is tried again, in milliseconds.
-const LISTEN_AGAIN_MS: u64 = 100;
+/// How many times binding to an address that is in use is attempted.
+const LISTEN_ATTEMPTS_MAX: u32 = 20;
+/// The delay between these attempts, in milliseconds.
+const LISTEN_RETRY_MS: u64 = 100;
 
-/// Runs an instance until it is told to stop.
+/// Runs an instance until a signal stops it.
 pub fn run(options: &Serve) -> Result<(), Error> {
-    let loaded = match &options.settings {
+    let settings = match &options.settings {
         Some(path) => settings::load(path)?,
         None => settings::embedded()?,
     };
-    log::start(loaded.log_format, loaded.log_debug)?;
+    log::start(settings.log_format, settings.log_debug)?;
     let executor = Arc::new(Executor::new());
-    smol::block_on(executor.run(serve(executor.clone(), loaded)))
+    smol::block_on(executor.run(serve(executor.clone(), settings)))
 }
 
-async fn serve(executor: Arc<Executor<'static>>, loaded: Loaded) -> Result<(), Error> {
-    let http = listen("HTTP", loaded.http).await?;
-    let peer = listen("peers", loaded.listen_peer).await?;
-    let (drain_ms, stop_timeout_ms) = (loaded.drain_ms, loaded.stop_timeout_ms);
+async fn serve(executor: Arc<Executor<'static>>, settings: InstanceSettings) -> Result<(), Error> {
+    let http = listen("HTTP", settings.http).await?;
+    let peer = listen("peers", settings.listen_peer).await?;
+    let (drain_ms, stop_timeout_ms) = (settings.drain_ms, settings.stop_timeout_ms);
     let signals = stop::signals()?;
-    let gateway = wire_up::start(executor, loaded, http, peer).await?;
+    let gateway = wire_up::start(executor, settings, http, peer).await?;
     stop::wait(signals).await;
     stop::stop(&gateway, drain_ms, stop_timeout_ms).await
 }
 
-/// Listens on an address; one that an earlier process is just leaving is waited for.
+/// Listens on an address; retries while it is in use, as an earlier process may be about to
+/// release it.
 pub(crate) async fn listen(
-    what: &str,
+    purpose: &str,
     address: std::net::SocketAddr,
 ) -> Result<TcpListener, Error> {
-    let mut tries = 0;
+    let mut attempts = 0;
     loop {
-        tries += 1;
+        attempts += 1;
         match TcpListener::bind(address).await {
             Ok(listener) => return Ok(listener),
-            Err(error) if error.kind() == ErrorKind::AddrInUse && tries < LISTEN_TRIES => {
-                Timer::after(Duration::from_millis(LISTEN_AGAIN_MS)).await;
+            Err(error)
+                if error.kind() == ErrorKind::AddrInUse && attempts < LISTEN_ATTEMPTS_MAX =>
+            {
+                Timer::after(Duration::from_millis(LISTEN_RETRY_MS)).await;
             }
             Err(error) => {
                 let hint = "is another instance running there?";
-                let message = format!("cannot listen for {what} on {address}: {error}; {hint}");
+                let message = format!("cannot listen for {purpose} on {address}: {error}; {hint}");
                 return Err(Error::new(Code::Failed, message));
             }
         }
--- a/crates/cli/src/serve/stop.rs
+++ b/crates/cli/src/serve/stop.rs
@@ -1,4 +1,4 @@
-//! The planned stop: it cuts off no request in flight.
+//! Graceful shutdown: requests in flight may finish until the stop timeout.
 
 use crate::exit::{Code, Error};
 use async_signal::{Signal, Signals};
@@ -9,22 +9,23 @@
 use std::sync::atomic::Ordering;
 use std::time::Duration;
 
-/// How often the end of the last request is looked for, in milliseconds.
-const LOOK_MS: u64 = 20;
+/// The interval between checks for unfinished requests, in milliseconds.
+const POLL_INTERVAL_MS: u64 = 20;
 
-/// Takes over the signals that stop the process.
+/// Registers for the signals that stop the process.
 pub(super) fn signals() -> Result<Signals, Error> {
     Signals::new([Signal::Term, Signal::Int])
-        .map_err(|error| Error::new(Code::Failed, format!("cannot take signals: {error}")))
+        .map_err(|error| Error::new(Code::Failed, format!("cannot register for signals: {error}")))
 }
 
 /// Waits for a signal.
 pub(super) async fn wait(mut signals: Signals) {
-    // Whatever the stream gives, also its end, asks for a stop.
+    // An item, an error and the end of the stream all stop the instance.
     let _ = signals.next().await;
 }
 
-/// Stops the instance: first not ready, then nothing new, then the end of all that runs.
+/// Stops the instance: it reports that it is not ready, refuses new requests after `drain_ms`, and
+/// then waits up to `timeout_ms` for unfinished requests.
 pub(super) async fn stop(
     gateway: &Arc<Gateway>,
     drain_ms: u64,
@@ -35,14 +36,15 @@
     gateway.control.stop().await;
     Timer::after(Duration::from_millis(drain_ms)).await;
     gateway.stopping.store(true, Ordering::Relaxed);
-    spdlog::info!("stopping: nothing new", kv: { unfinished = gateway.unfinished() as u64 });
-    let give_up_ms = gateway.clock.now_ms() + timeout_ms;
+    spdlog::info!("stopping: refusing new requests", kv: { unfinished = gateway.unfinished() as u64 });
+    let timeout_at_ms = gateway.clock.now_ms() + timeout_ms;
     while gateway.unfinished() > 0 {
-        if gateway.clock.now_ms() >= give_up_ms {
-            let message = format!("{} requests did not end in time", gateway.unfinished());
+        if gateway.clock.now_ms() >= timeout_at_ms {
+            let message =
+                format!("{} requests were unfinished at the stop timeout", gateway.unfinished());
             return Err(Error::new(Code::Failed, message));
         }
-        Timer::after(Duration::from_millis(LOOK_MS)).await;
+        Timer::after(Duration::from_millis(POLL_INTERVAL_MS)).await;
     }
     spdlog::info!("stopped");
     Ok(())
--- a/crates/cli/src/serve/wire_up.rs
+++ b/crates/cli/src/serve/wire_up.rs
@@ -1,7 +1,7 @@
 //! Starts the control thread and the traffic threads, and connects them.
 
 use crate::exit::{Code, Error};
-use crate::settings::Loaded;
+use crate::settings::InstanceSettings;
 use lycheehub_clock::{Clock, TimerService};
 use lycheehub_gateway::answers::KeptAnswers;
 use lycheehub_gateway::dispatcher::Dispatcher;
@@ -18,7 +18,7 @@
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, AtomicU64, AtomicUsize};
 
-/// What the control thread is started with.
+/// What the control thread runs with.
 struct ControlParts {
     settings: PeerSettings,
     clock: Clock,
@@ -32,19 +32,19 @@
 /// Starts all threads of an instance.
 pub(super) async fn start(
     executor: Arc<Executor<'static>>,
-    loaded: Loaded,
+    settings: InstanceSettings,
     http: TcpListener,
     peer: TcpListener,
 ) -> Result<Arc<Gateway>, Error> {
     let clock = Clock::new();
     let timers = Arc::new(TimerService::new(clock));
     let views = Views::default();
-    let limits = &loaded.gateway;
+    let limits = &settings.gateway;
     let answers =
         Arc::new(KeptAnswers::new(clock, limits.answer_retention_ms, limits.answers_max_bytes));
     let (sender, requests) = unbounded();
     let parts = ControlParts {
-        settings: loaded.peer,
+        settings: settings.peer,
         clock,
         timers: timers.clone(),
         views: views.clone(),
@@ -56,9 +56,9 @@
         requests,
     };
     let incarnation = start_control(parts).await?;
-    let scheduler = Scheduler::new(loaded.route, rand::rng().next_u64());
+    let scheduler = Scheduler::new(settings.route, rand::rng().next_u64());
     let gateway = Arc::new(Gateway {
-        settings: loaded.gateway,
+        settings: settings.gateway,
         clock,
         views,
         control: Control::new(sender),
@@ -78,16 +78,16 @@
     gateway.start(timers.as_ref());
     gateway.executor.spawn(http::serve(gateway.clone(), http)).detach();
     gateway.executor.spawn(async move { timers.run().await }).detach();
-    // The main thread carries traffic as well.
-    for number in 1..loaded.traffic_threads {
-        start_traffic(number, gateway.executor.clone())?;
+    // The main thread handles traffic as well.
+    for number in 1..settings.traffic_threads {
+        start_traffic_thread(number, gateway.executor.clone())?;
     }
     let name = &gateway.settings.instance;
-    spdlog::info!("instance started", kv: { instance: = name, http: = loaded.http, incarnation });
+    spdlog::info!("instance started", kv: { instance: = name, http: = settings.http, incarnation });
     Ok(gateway)
 }
 
-/// Starts to collect metrics.
+/// Installs the global metrics recorder; returns the handle that renders it.
 pub(crate) fn start_metrics() -> Result<PrometheusHandle, Error> {
     let recorder = PrometheusBuilder::new().build_recorder();
     let handle = recorder.handle();
@@ -96,36 +96,36 @@
     Ok(handle)
 }
 
-/// Starts the control thread; returns this run's incarnation once its state is open.
+/// Starts the control thread and waits until its node is open; returns the node's incarnation.
 async fn start_control(parts: ControlParts) -> Result<u64, Error> {
-    let (opened, wait) = bounded(1);
+    let (result_sender, result_receiver) = bounded(1);
     let thread = std::thread::Builder::new().name("control".to_owned());
-    let started = thread.spawn(move || run_control(parts, &opened));
+    let started = thread.spawn(move || run_control(parts, &result_sender));
     started.map_err(|error| Error::new(Code::Failed, format!("cannot start a thread: {error}")))?;
-    let opened = wait.recv().await;
-    opened
+    let result = result_receiver.recv().await;
+    result
         .unwrap_or_else(|_| Err("the control thread ended".to_owned()))
         .map_err(|message| Error::new(Code::Failed, message))
 }
 
-fn run_control(parts: ControlParts, opened: &Sender<Result<u64, String>>) {
+fn run_control(parts: ControlParts, result_sender: &Sender<Result<u64, String>>) {
     let seed = rand::rng().next_u64();
     let node =
         Node::open(parts.settings, parts.clock, parts.timers, parts.views, parts.outside, seed);
     let node = match node {
         Ok(node) => node,
         Err(error) => {
-            // The starting thread waits for this answer.
-            let _ = opened.try_send(Err(format!("cannot open the data folder: {error}")));
+            // Ignored: sending fails only if the starting thread no longer waits for the result.
+            let _ = result_sender.try_send(Err(format!("cannot open the data folder: {error}")));
             return;
         }
     };
-    // The starting thread waits for this answer.
-    let _ = opened.try_send(Ok(node.incarnation()));
+    // Ignored: sending fails only if the starting thread no longer waits for the result.
+    let _ = result_sender.try_send(Ok(node.incarnation()));
     node.run(parts.listener, parts.requests);
 }
 
-fn start_traffic(number: usize, executor: Arc<Executor<'static>>) -> Result<(), Error> {
+fn start_traffic_thread(number: usize, executor: Arc<Executor<'static>>) -> Result<(), Error> {
     let thread = std::thread::Builder::new().name(format!("traffic-{number}"));
     let run = move || smol::block_on(executor.run(std::future::pending::<()>()));
     let started = thread.spawn(run);
--- a/crates/cli/src/settings/file.rs
+++ b/crates/cli/src/settings/file.rs
@@ -1,4 +1,4 @@
-//! What the settings file holds; unknown fields are refused.
+//! The schema of the settings file; unknown fields are rejected.
 
 use serde::Deserialize;
 use toml::Spanned;
@@ -9,15 +9,15 @@
 pub struct File {
     /// This instance.
     pub instance: Instance,
-    /// Instances known from the start.
+    /// The instances that this one contacts at start.
     #[serde(default)]
     pub seed: Vec<Seed>,
-    /// Where keys are read from.
+    /// The key files.
     pub keys: Keys,
-    /// Bounds.
+    /// Limits and timeouts.
     #[serde(default)]
     pub limits: Limits,
-    /// How requests are routed.
+    /// Routing options.
     #[serde(default)]
     pub routing: Routing,
     /// The log.
@@ -31,32 +31,32 @@
 pub struct Instance {
     /// The name.
     pub name: Spanned<String>,
-    /// Where it runs.
+    /// The failure domain in which it runs.
     pub failure_domain: Spanned<String>,
-    /// Where it listens for HTTP, as an IP number and a port.
+    /// The HTTP listen address, as `IP:port`.
     pub http: Spanned<String>,
-    /// Where it listens for peers, as an IP number and a port.
+    /// The listen address for peers, as `IP:port`.
     pub peer: Spanned<String>,
-    /// Where a control replica keeps its files; no replica without it.
+    /// The data folder of the control replica; without one the instance can hold no replica.
     pub data_folder: Option<String>,
-    /// How many threads carry traffic.
+    /// The number of threads that handle traffic (default: 1).
     pub traffic_threads: Option<Spanned<usize>>,
 }
 
-/// An instance known from the start.
+/// An instance that this one contacts at start.
 #[derive(Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Seed {
     /// The name.
     pub name: Spanned<String>,
-    /// Where it listens for peers, as an IP number and a port.
+    /// Its listen address for peers, as `IP:port`.
     pub peer: Spanned<String>,
-    /// Whether it holds one of the first control replicas.
+    /// Whether it holds one of the initial control replicas.
     #[serde(default)]
     pub replica: bool,
 }
 
-/// Where keys are read from.
+/// The key files.
 #[derive(Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Keys {
@@ -68,34 +68,34 @@
     pub endpoints_file: String,
 }
 
-/// Bounds; each has a default.
+/// Limits and timeouts; each has a default.
 #[derive(Debug, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Limits {
     /// The longest request body, in bytes.
     pub body_max_bytes: usize,
-    /// The longest whole answer, in bytes.
+    /// The longest non-streamed response, in bytes.
     pub answer_max_bytes: usize,
-    /// How long a caller may take to send a request's head, in milliseconds.
+    /// The timeout for reading a request's head, in milliseconds.
     pub header_timeout_ms: u64,
-    /// How long a caller may take to send a request's body, in milliseconds.
+    /// The timeout for reading a request's body, in milliseconds.
     pub body_timeout_ms: u64,
-    /// The most connections at once.
+    /// The most concurrent connections of callers.
     pub connections_max: usize,
-    /// The most requests that wait for one service.
+    /// The most requests queued for one service.
     pub queue_max: usize,
-    /// How long an endpoint may take to accept a connection, in milliseconds.
+    /// The timeout for connecting to an endpoint, in milliseconds.
     pub connect_timeout_ms: u64,
-    /// How long an endpoint may send nothing, in milliseconds.
+    /// The longest time an endpoint may send nothing, in milliseconds.
     pub idle_timeout_ms: u64,
-    /// How long answers are kept for resends, in milliseconds.
+    /// How long responses are kept for callers that resend a request, in milliseconds.
     pub answer_retention_ms: u64,
-    /// The most bytes of answers kept for resends.
+    /// The most bytes of responses kept for callers that resend a request.
     pub answers_max_bytes: usize,
-    /// How long the instance still takes requests after it reports that it is not ready, in
-    /// milliseconds.
+    /// How long a stopping instance still accepts requests after it reports that it is not ready,
+    /// in milliseconds.
     pub drain_ms: u64,
-    /// How long requests in flight may take to end after that, in milliseconds.
+    /// How long a stopping instance then waits for unfinished requests, in milliseconds.
     pub stop_timeout_ms: u64,
 }
 
@@ -118,13 +118,13 @@
     }
 }
 
-/// How requests are routed; other than the defaults only for measurements.
+/// Routing options; values other than the defaults are meant only for measurements.
 #[derive(Debug, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Routing {
     /// How endpoints are chosen.
     pub policy: Policy,
-    /// Whether tiers count.
+    /// Whether tiers are taken into account.
     pub tiers: bool,
 }
 
@@ -138,13 +138,13 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Policy {
-    /// By the expected time, with prefix affinity.
+    /// The shortest expected time, with prefix affinity.
     ExpectedTime,
     /// At random.
     Random,
-    /// In turn.
+    /// Round robin.
     RoundRobin,
-    /// Least requests in flight.
+    /// The fewest requests in flight.
     LeastInFlight,
 }
 
@@ -163,13 +163,13 @@
 #[derive(Debug, Default, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Log {
-    /// The form of a line.
+    /// The format of a line.
     pub format: LogFormat,
-    /// Whether decisions of lesser weight are logged too.
+    /// Whether debug lines are logged too.
     pub debug: bool,
 }
 
-/// The form of a log line.
+/// The format of a log line.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum LogFormat {
--- a/crates/cli/src/settings/load.rs
+++ b/crates/cli/src/settings/load.rs
@@ -1,4 +1,4 @@
-//! Reads and checks the settings file, naming file, line and column of what is wrong.
+//! Reads and validates the settings file; an error names its file, line and column.
 
 use super::{File, LogFormat};
 use crate::exit::{Code, Error};
@@ -11,39 +11,40 @@
 use std::path::{Path, PathBuf};
 use toml::Spanned;
 
-/// The most threads that carry traffic.
+/// The most threads that handle traffic.
 const TRAFFIC_THREADS_MAX: usize = 64;
 /// The shortest peer key, in bytes.
 const PEER_KEY_MIN_BYTES: usize = 16;
 /// The settings of a single instance on loopback.
 const EMBEDDED: &str = include_str!("embedded.toml");
 
-/// Settings, checked.
+/// The validated settings of an instance.
 #[derive(Debug)]
-pub struct Loaded {
-    /// For the control thread.
+pub struct InstanceSettings {
+    /// Settings of the control thread.
     pub peer: PeerSettings,
-    /// For the HTTP side.
+    /// Settings of the HTTP gateway.
     pub gateway: lycheehub_gateway::Settings,
-    /// Where to listen for HTTP.
+    /// The HTTP listen address.
     pub http: SocketAddr,
-    /// Where to listen for peers.
+    /// The listen address for peers.
     pub listen_peer: SocketAddr,
-    /// How many threads carry traffic.
+    /// The number of threads that handle traffic.
     pub traffic_threads: usize,
-    /// For the scheduler.
+    /// Options of the scheduler.
     pub route: lycheehub_route::Options,
-    /// How long requests are still taken after the instance reports that it is not ready, in
-    /// milliseconds.
+    /// How long a stopping instance still accepts requests after it reports that it is not ready,
+    /// in milliseconds.
     pub drain_ms: u64,
-    /// How long requests in flight may take to end after that, in milliseconds.
+    /// How long a stopping instance then waits for unfinished requests, in milliseconds.
     pub stop_timeout_ms: u64,
-    /// The form of a log line.
+    /// The format of a log line.
     pub log_format: LogFormat,
-    /// Whether decisions of lesser weight are logged too.
+    /// Whether debug lines are logged too.
     pub log_debug: bool,
 }
 
+/// The text of a settings file, with its path for error messages.
 struct Source<'a> {
     path: &'a str,
     text: &'a str,
@@ -73,7 +74,10 @@
     fn address(&self, value: &Spanned<String>) -> Result<SocketAddr, Error> {
         let parsed = value.get_ref().parse();
         parsed.map_err(|_| {
-            self.error(&value.span(), "expected an IP number and a port, such as \"10.0.0.1:7100\"")
+            self.error(
+                &value.span(),
+                "expected an IP address and a port, such as \"10.0.0.1:7100\"",
+            )
         })
     }
 }
@@ -81,8 +85,8 @@
 /// Reads the settings file at `path`.
 ///
 /// # Errors
-/// Names the file, line and column of the first thing that is wrong.
-pub fn load(path: &str) -> Result<Loaded, Error> {
+/// Fails at the first invalid value, with its file, line and column.
+pub fn load(path: &str) -> Result<InstanceSettings, Error> {
     let text = std::fs::read_to_string(path).map_err(|error| {
         Error::new(Code::Invalid, format!("cannot read settings {path}: {error}"))
     })?;
@@ -95,20 +99,20 @@
     let operators = key_file(&file.keys.operators_file).map_err(invalid)?;
     let endpoints = key_file(&file.keys.endpoints_file).map_err(invalid)?;
     let peer_key = read_peer_key(&folder.join(&file.keys.peer_file))?;
-    check(&source, file, &folder, peer_key, operators, endpoints)
+    validate(&source, file, &folder, peer_key, operators, endpoints)
 }
 
 /// Returns the settings of a single instance on loopback, with keys for trying it out.
 ///
 /// # Errors
-/// Fails only where the embedded text is wrong.
-pub fn embedded() -> Result<Loaded, Error> {
+/// Fails only if the embedded settings are invalid.
+pub fn embedded() -> Result<InstanceSettings, Error> {
     let source = Source { path: "embedded settings", text: EMBEDDED };
     let file = source.parse()?;
     let operators = KeyFile::fixed([("operator", "try-operator")]);
     let endpoints = KeyFile::fixed([("endpoint", "try-endpoint")]);
     let peer_key = b"a key for one instance alone".to_vec();
-    check(&source, file, Path::new(""), peer_key, operators, endpoints)
+    validate(&source, file, Path::new(""), peer_key, operators, endpoints)
 }
 
 fn read_peer_key(path: &Path) -> Result<Vec<u8>, Error> {
@@ -124,14 +128,14 @@
     Ok(key)
 }
 
-fn check(
+fn validate(
     source: &Source<'_>,
     file: File,
     folder: &Path,
     peer_key: Vec<u8>,
     operator_keys: KeyFile,
     endpoint_keys: KeyFile,
-) -> Result<Loaded, Error> {
+) -> Result<InstanceSettings, Error> {
     let instance = &file.instance;
     let name = InstanceName::from(source.name(&instance.name)?);
     let http = source.address(&instance.http)?;
@@ -144,11 +148,11 @@
         Some(count) => *count.get_ref(),
         None => 1,
     };
-    let seeds = seeds(source, &file)?;
+    let seeds = read_seeds(source, &file)?;
     let data_folder = instance.data_folder.as_ref().map(|path| folder.join(path));
-    check_founder(source, &file, &name, data_folder.as_ref())?;
+    check_initial_replica(source, &file, &name, data_folder.as_ref())?;
     let limits = &file.limits;
-    Ok(Loaded {
+    Ok(InstanceSettings {
         peer: PeerSettings {
             instance: name.clone(),
             failure_domain: source.name(&instance.failure_domain)?.into(),
@@ -193,7 +197,7 @@
     })
 }
 
-fn seeds(source: &Source<'_>, file: &File) -> Result<Vec<Seed>, Error> {
+fn read_seeds(source: &Source<'_>, file: &File) -> Result<Vec<Seed>, Error> {
     let mut seeds: Vec<Seed> = Vec::new();
     for seed in &file.seed {
         let instance = InstanceName::from(source.name(&seed.name)?);
@@ -209,16 +213,16 @@
     Ok(seeds)
 }
 
-/// A seed that holds one of the first replicas needs a data folder.
-fn check_founder(
+/// Checks that an instance that is to hold one of the initial replicas has a data folder.
+fn check_initial_replica(
     source: &Source<'_>,
     file: &File,
     name: &InstanceName,
     data_folder: Option<&PathBuf>,
 ) -> Result<(), Error> {
     let own = file.seed.iter().find(|seed| seed.name.get_ref() == name.as_str());
-    let founder = own.is_some_and(|seed| seed.replica);
-    if founder && data_folder.is_none() {
+    let holds_replica = own.is_some_and(|seed| seed.replica);
+    if holds_replica && data_folder.is_none() {
         let message = "this instance holds a control replica: expected data_folder";
         return Err(source.error(&file.instance.name.span(), message));
     }
--- a/crates/cli/src/settings/mod.rs
+++ b/crates/cli/src/settings/mod.rs
@@ -4,4 +4,4 @@
 mod load;
 
 pub use file::{File, LogFormat};
-pub use load::{Loaded, embedded, load};
+pub use load::{InstanceSettings, embedded, load};
