--- a/crates/cli/src/arguments.rs
+++ b/crates/cli/src/arguments.rs
@@ -1,8 +1,8 @@
-//! The command line.
+//! Commands and options of the command line.
 
 use gumdrop::Options;
 
-/// A request scheduler for unlike model engines.
+/// A request scheduler for heterogeneous model engines.
 #[derive(Debug, Options)]
 pub struct Arguments {
     /// Shows help.
@@ -22,11 +22,11 @@
     /// Runs an instance.
     #[options(help = "run an instance: lycheehub serve [--settings FILE]")]
     Serve(Serve),
-    /// Runs an entry instance on the users' platform.
-    #[options(help = "run an entry instance by the platform's settings: lycheehub entry")]
+    /// Runs an entry instance on the deployment platform.
+    #[options(help = "run an entry instance with the platform's settings file: lycheehub entry")]
     Entry(Role),
-    /// Runs a control instance on the users' platform.
-    #[options(help = "run a control instance by the platform's settings: lycheehub control")]
+    /// Runs a control instance on the deployment platform.
+    #[options(help = "run a control instance with the platform's settings file: lycheehub control")]
     Control(Role),
     /// Checks a file.
     #[options(help = "check a settings file or a section: lycheehub check FILE")]
@@ -41,7 +41,7 @@
     #[options(help = "show version moves, or wait for one: lycheehub moves [--wait ID]")]
     Moves(Moves),
     /// Shows endpoints.
-    #[options(help = "show endpoints that are live: lycheehub endpoints")]
+    #[options(help = "show live endpoints: lycheehub endpoints")]
     Endpoints(List),
     /// Shows instances.
     #[options(help = "show instances and what each has in force: lycheehub instances")]
@@ -49,9 +49,9 @@
     /// Follows a request through log files.
     #[options(help = "follow a request's id through log files: lycheehub trace ID FILE...")]
     Trace(Trace),
-    /// Adds up what became of all requests in log files.
+    /// Summarizes the ends of all requests in log files.
     #[options(
-        help = "what became of all requests in log files, by cause, rank, account and second"
+        help = "summarize how requests in log files ended, by cause, rank, account and second"
     )]
     Summary(Summary),
 }
@@ -94,7 +94,9 @@
     #[options(help = "show this help")]
     pub help: bool,
     /// The settings file.
-    #[options(help = "the settings file; without it a single instance runs on loopback")]
+    #[options(
+        help = "the settings file (default: built-in settings of a single instance on loopback)"
+    )]
     pub settings: Option<String>,
 }
 
@@ -117,7 +119,7 @@
     pub files: Vec<String>,
 }
 
-/// Where instances are, and the operator's key.
+/// Options of `apply`.
 #[derive(Debug, Default, Options)]
 pub struct Apply {
     /// Shows help.
@@ -136,16 +138,16 @@
     #[options(help = "the section's name", required)]
     pub section: String,
     /// The revision that the text is based on.
-    #[options(help = "the revision that the text is based on (default: the present one)")]
+    #[options(help = "the revision that the text is based on (default: the current one)")]
     pub base: Option<u64>,
     /// The id of this submission.
-    #[options(help = "the id of this submission, the same for a resend", no_short)]
+    #[options(help = "the id of this submission; a resend uses the same id", no_short)]
     pub request_id: Option<String>,
-    /// Shows the difference only.
+    /// Shows the difference without submitting.
     #[options(help = "show the difference and submit nothing", no_short)]
     pub dry_run: bool,
     /// Waits until the section is in force everywhere.
-    #[options(help = "wait until it is in force on every live instance", no_short)]
+    #[options(help = "wait until the section is in force on every live instance", no_short)]
     pub wait: bool,
     /// The file with the section's text.
     #[options(free, required, help = "file with the section's text")]
@@ -168,7 +170,7 @@
     #[options(help = "print JSON", no_short)]
     pub json: bool,
     /// The section.
-    #[options(free, help = "the section; all are listed without it")]
+    #[options(free, help = "the section to show (default: list all sections)")]
     pub section: Option<String>,
 }
 
@@ -188,7 +190,7 @@
     #[options(help = "print JSON", no_short)]
     pub json: bool,
     /// The move to wait for.
-    #[options(help = "wait until this move is done or taken back, and show each step")]
+    #[options(help = "wait until this move is done, reverted or superseded, and show each step")]
     pub wait: Option<String>,
 }
 
@@ -209,7 +211,7 @@
     pub json: bool,
 }
 
-/// Returns the help text with the exit codes.
+/// Returns the help text, including the exit codes.
 pub fn help() -> String {
     format!(
         "Usage: lycheehub COMMAND [OPTIONS]\n\n{}\n\nCommands:\n{}\n\n{EXIT_CODES}",
@@ -219,4 +221,4 @@
 }
 
 const EXIT_CODES: &str = "Exit codes: 0 done, 1 failed, 2 wrong command line, 3 invalid file or \
-document,\n4 conflict, 5 not applied, 6 outcome unknown, 7 move taken back or superseded";
+document,\n4 conflict, 5 not applied, 6 outcome unknown, 7 move reverted or superseded";
--- a/crates/cli/src/client/apply.rs
+++ b/crates/cli/src/client/apply.rs
@@ -9,11 +9,11 @@
 use serde::Deserialize;
 use std::time::Duration;
 
-/// How often `--wait` looks again, in milliseconds.
-const LOOK_MS: u64 = 200;
+/// The polling interval of `--wait`, in milliseconds.
+const POLL_INTERVAL_MS: u64 = 200;
 
 #[derive(Deserialize)]
-struct Present {
+struct CurrentSection {
     revision: u64,
     text: String,
 }
@@ -35,7 +35,7 @@
     revision_in_force: u64,
 }
 
-/// Submits a section, or shows what it would change.
+/// Submits a section, or shows what a submission would change.
 pub fn run(options: &Apply) -> Result<(), Error> {
     let client = Client::new(options.to.as_deref(), options.key_file.as_deref())?;
     let text = std::fs::read_to_string(&options.file).map_err(|error| {
@@ -44,12 +44,12 @@
     lycheehub_estate::parse(&text)
         .map_err(|error| Error::new(Code::Invalid, format!("{}:{error}", options.file)))?;
     if options.dry_run {
-        let present = present(&client, &options.section)?;
-        return show_difference(&present.text, &text, options.json);
+        let current = fetch_current(&client, &options.section)?;
+        return print_diff(&current.text, &text, options.json);
     }
     let base = match options.base {
         Some(base) => base,
-        None => present(&client, &options.section)?.revision,
+        None => fetch_current(&client, &options.section)?.revision,
     };
     let request_id =
         options.request_id.clone().unwrap_or_else(|| format!("{:016x}", rand::rng().next_u64()));
@@ -82,41 +82,41 @@
         }
         _ => error,
     };
-    let reply = client.call(&call).map_err(with_resend)?;
-    let accepted: Accepted = reply.json().map_err(with_resend)?;
+    let response = client.call(&call).map_err(with_resend)?;
+    let accepted: Accepted = response.json().map_err(with_resend)?;
     if options.json {
-        println!("{}", String::from_utf8_lossy(&reply.body));
+        println!("{}", String::from_utf8_lossy(&response.body));
     } else {
         println!("accepted as revision {}", accepted.revision);
     }
-    if options.wait { wait(client, accepted.revision) } else { Ok(()) }
+    if options.wait { wait_in_force(client, accepted.revision) } else { Ok(()) }
 }
 
-fn present(client: &Client, section: &str) -> Result<Present, Error> {
-    let reply = client.call(&Call::get(format!("sections/{section}")))?;
-    if reply.status == 404 {
-        return Ok(Present { revision: 0, text: String::new() });
+fn fetch_current(client: &Client, section: &str) -> Result<CurrentSection, Error> {
+    let response = client.call(&Call::get(format!("sections/{section}")))?;
+    if response.status == 404 {
+        return Ok(CurrentSection { revision: 0, text: String::new() });
     }
-    reply.json()
+    response.json()
 }
 
-fn show_difference(old: &str, new: &str, json: bool) -> Result<(), Error> {
-    let found = lines(old, new);
+fn print_diff(old: &str, new: &str, json: bool) -> Result<(), Error> {
+    let diff = lines(old, new);
     if json {
-        let changed: Vec<String> = found.iter().filter_map(marked).collect();
+        let changed: Vec<String> = diff.iter().filter_map(format_change).collect();
         println!("{}", serde_json::json!({ "changed": changed }));
         return Ok(());
     }
-    for line in &found {
+    for line in &diff {
         match line {
             Line::Same(text) => println!("  {text}"),
-            changed => println!("{}", marked(changed).unwrap_or_default()),
+            changed => println!("{}", format_change(changed).unwrap_or_default()),
         }
     }
     Ok(())
 }
 
-fn marked(line: &Line) -> Option<String> {
+fn format_change(line: &Line) -> Option<String> {
     match line {
         Line::Same(_) => None,
         Line::Removed(text) => Some(format!("- {text}")),
@@ -124,7 +124,7 @@
     }
 }
 
-fn wait(client: &Client, revision: u64) -> Result<(), Error> {
+fn wait_in_force(client: &Client, revision: u64) -> Result<(), Error> {
     loop {
         let instances: Instances = client.call(&Call::get("instances"))?.json()?;
         let behind: Vec<&str> = instances
@@ -138,6 +138,6 @@
             return Ok(());
         }
         println!("not yet in force on {}", behind.join(", "));
-        std::thread::sleep(Duration::from_millis(LOOK_MS));
+        std::thread::sleep(Duration::from_millis(POLL_INTERVAL_MS));
     }
 }
--- a/crates/cli/src/client/call.rs
+++ b/crates/cli/src/client/call.rs
@@ -1,4 +1,4 @@
-//! Calls to instances.
+//! The client of the instances' HTTP API for operators.
 
 use crate::exit::{Code, Error};
 use http_types::{Body, Method, Request, Url};
@@ -8,16 +8,16 @@
 use smol::io::AsyncReadExt;
 use smol::net::TcpStream;
 
-/// How long one instance may take to answer, in milliseconds.
+/// The timeout of a call to one instance, in milliseconds.
 const CALL_TIMEOUT_MS: u64 = 10_000;
-/// Where an instance is looked for where none is named.
-const DEFAULT_TO: &str = "127.0.0.1:7100";
-/// The key of the embedded settings.
+/// The address of the instance that is called if none is given.
+const DEFAULT_ADDRESS: &str = "127.0.0.1:7100";
+/// The operator's key in the embedded settings, used if no key file is given.
 const DEFAULT_KEY: &str = "try-operator";
 
-/// A client with the instances to try in turn.
+/// A client that tries its instances in turn.
 pub struct Client {
-    to: Vec<String>,
+    addresses: Vec<String>,
     key: String,
 }
 
@@ -25,45 +25,45 @@
 pub struct Call<'a> {
     /// The method.
     pub method: Method,
-    /// The path below the operators' calls.
+    /// The path below `/v1/operators/`.
     pub path: String,
-    /// Headers.
+    /// The additional headers.
     pub headers: Vec<(&'a str, String)>,
     /// The body.
     pub body: Vec<u8>,
 }
 
 impl Call<'_> {
-    /// Makes a call that reads.
+    /// Returns a GET call.
     pub fn get(path: impl Into<String>) -> Self {
         Self { method: Method::Get, path: path.into(), headers: Vec::new(), body: Vec::new() }
     }
 }
 
-/// An answer.
-pub struct Reply {
+/// A response.
+pub struct Response {
     /// The HTTP status.
     pub status: u16,
     /// The body.
     pub body: Vec<u8>,
 }
 
-impl Reply {
-    /// Decodes the body.
+impl Response {
+    /// Decodes the JSON body.
     ///
     /// # Errors
-    /// Fails with the instance's message where the call was refused.
+    /// Fails with the instance's message if the call was refused, or if the body does not decode.
     pub fn json<T: DeserializeOwned>(&self) -> Result<T, Error> {
         if self.status >= 400 {
-            return Err(self.refused());
+            return Err(self.refusal());
         }
         serde_json::from_slice(&self.body).map_err(|error| {
-            Error::new(Code::Failed, format!("the answer does not decode: {error}"))
+            Error::new(Code::Failed, format!("cannot decode the response: {error}"))
         })
     }
 
-    /// Makes an error of the instance's message.
-    pub fn refused(&self) -> Error {
+    /// Returns the error of a refused call, with the instance's message.
+    pub fn refusal(&self) -> Error {
         let value: serde_json::Value = serde_json::from_slice(&self.body).unwrap_or_default();
         let message = value["error"]["message"].as_str().or(value["message"].as_str());
         let message = message.unwrap_or("the instance refused the call").to_owned();
@@ -79,34 +79,35 @@
 }
 
 impl Client {
-    /// Makes a client from the command line or the environment.
+    /// Creates a client from options of the command line or, without them, from the environment.
     ///
     /// # Errors
-    /// Fails where the key file cannot be read.
+    /// Fails if the key file cannot be read.
     pub fn new(to: Option<&str>, key_file: Option<&str>) -> Result<Self, Error> {
-        let named = std::env::var("LYCHEEHUB_TO").ok();
-        let to = to.or(named.as_deref()).unwrap_or(DEFAULT_TO);
-        let key_path = std::env::var("LYCHEEHUB_KEY_FILE").ok();
-        let key = match key_file.or(key_path.as_deref()) {
+        let env_to = std::env::var("LYCHEEHUB_TO").ok();
+        let to = to.or(env_to.as_deref()).unwrap_or(DEFAULT_ADDRESS);
+        let env_key_file = std::env::var("LYCHEEHUB_KEY_FILE").ok();
+        let key = match key_file.or(env_key_file.as_deref()) {
             Some(path) => read_key(path)?,
             None => DEFAULT_KEY.to_owned(),
         };
-        Ok(Self { to: to.split(',').map(|part| part.trim().to_owned()).collect(), key })
+        Ok(Self { addresses: to.split(',').map(|part| part.trim().to_owned()).collect(), key })
     }
 
-    /// Makes a call at the first instance that answers.
+    /// Makes a call to the first instance that responds. Where there are several instances, one
+    /// that responds 503 counts as failed.
     ///
     /// # Errors
-    /// Names the step and the instance of each attempt where none answered.
-    pub fn call(&self, call: &Call<'_>) -> Result<Reply, Error> {
+    /// Names the failed step and the instance of each attempt if no instance responded.
+    pub fn call(&self, call: &Call<'_>) -> Result<Response, Error> {
         let mut failures = Vec::new();
         let mut sent = false;
-        for address in &self.to {
+        for address in &self.addresses {
             match smol::block_on(self.call_at(address, call, &mut sent)) {
-                Ok(reply) if reply.status == 503 && self.to.len() > 1 => {
-                    failures.push(format!("call at {address}: {}", reply.refused()));
+                Ok(response) if response.status == 503 && self.addresses.len() > 1 => {
+                    failures.push(format!("call at {address}: {}", response.refusal()));
                 }
-                Ok(reply) => return Ok(reply),
+                Ok(response) => return Ok(response),
                 Err(error) => failures.push(error.to_string()),
             }
         }
@@ -120,9 +121,9 @@
         address: &str,
         call: &Call<'_>,
         sent: &mut bool,
-    ) -> Result<Reply, PeerError> {
-        let late = || Err(PeerError::TimedOut("call", address.into(), CALL_TIMEOUT_MS));
-        within(CALL_TIMEOUT_MS, self.exchange(address, call, sent)).await.unwrap_or_else(late)
+    ) -> Result<Response, PeerError> {
+        let timed_out = || Err(PeerError::TimedOut("call", address.into(), CALL_TIMEOUT_MS));
+        within(CALL_TIMEOUT_MS, self.exchange(address, call, sent)).await.unwrap_or_else(timed_out)
     }
 
     async fn exchange(
@@ -130,7 +131,7 @@
         address: &str,
         call: &Call<'_>,
         sent: &mut bool,
-    ) -> Result<Reply, PeerError> {
+    ) -> Result<Response, PeerError> {
         let url = format!("http://{address}/v1/operators/{}", call.path);
         let url = Url::parse(&url).map_err(|error| PeerError::failed("address", address, error))?;
         let mut request = Request::new(call.method, url);
@@ -147,12 +148,13 @@
         let mut response = response.map_err(|error| PeerError::failed("call", address, error))?;
         let mut body = Vec::new();
         let read = response.read_to_end(&mut body).await;
-        read.map_err(|error| PeerError::failed("read answer", address, error))?;
-        Ok(Reply { status: u16::from(response.status()), body })
+        read.map_err(|error| PeerError::failed("read response", address, error))?;
+        Ok(Response { status: u16::from(response.status()), body })
     }
 }
 
-/// Reads a key: alone in the file, or after an operator's name.
+/// Reads a key from the first line that is not blank: the key alone, or an operator's name and the
+/// key.
 fn read_key(path: &str) -> Result<String, Error> {
     let text = std::fs::read_to_string(path).map_err(|error| {
         Error::new(Code::Failed, format!("cannot read the operator's key {path}: {error}"))
--- a/crates/cli/src/client/get.rs
+++ b/crates/cli/src/client/get.rs
@@ -18,16 +18,16 @@
     text: String,
 }
 
-/// Shows one section's text, or all sections with their revisions.
+/// Shows one section's text, or lists all sections with their revisions.
 pub fn run(options: &Get) -> Result<(), Error> {
     let client = Client::new(options.to.as_deref(), options.key_file.as_deref())?;
     let Some(name) = &options.section else {
         return list(&client, options.json);
     };
-    let reply = client.call(&Call::get(format!("sections/{name}")))?;
-    let section: Section = reply.json()?;
+    let response = client.call(&Call::get(format!("sections/{name}")))?;
+    let section: Section = response.json()?;
     if options.json {
-        println!("{}", String::from_utf8_lossy(&reply.body));
+        println!("{}", String::from_utf8_lossy(&response.body));
     } else {
         print!("{}", section.text);
     }
@@ -35,10 +35,10 @@
 }
 
 fn list(client: &Client, json: bool) -> Result<(), Error> {
-    let reply = client.call(&Call::get("sections"))?;
-    let sections: Sections = reply.json()?;
+    let response = client.call(&Call::get("sections"))?;
+    let sections: Sections = response.json()?;
     if json {
-        println!("{}", String::from_utf8_lossy(&reply.body));
+        println!("{}", String::from_utf8_lossy(&response.body));
         return Ok(());
     }
     let mut rows =
--- a/crates/cli/src/client/lists.rs
+++ b/crates/cli/src/client/lists.rs
@@ -1,4 +1,4 @@
-//! Shows endpoints and instances.
+//! Lists endpoints and instances.
 
 use super::{Call, Client, table};
 use crate::arguments::List;
@@ -19,11 +19,11 @@
     address: String,
     slots: u32,
     leaving: bool,
-    /// Told by an instance that holds slots of it.
+    /// Present if the responding instance holds slots of the endpoint.
     granted_slots: Option<u32>,
-    /// Told by an instance that watches over its lease.
+    /// Present if the responding instance monitors the endpoint's lease.
     lease_left_ms: Option<u64>,
-    /// Told by a control instance that takes no requests.
+    /// Present if the responding instance is a control instance on the deployment platform.
     heard_by: Option<String>,
 }
 
@@ -39,7 +39,8 @@
     instance: String,
     revision_in_force: u64,
     live: bool,
-    /// These are not told of instances that only watch.
+    /// A control instance on the deployment platform omits this field and all that follow, except
+    /// `holds_replica`.
     #[serde(default)]
     failure_domain: String,
     #[serde(default)]
@@ -52,20 +53,20 @@
     stopping: bool,
 }
 
-/// Shows the endpoints that one instance sees.
+/// Lists the endpoints that the called instance knows.
 pub fn endpoints(options: &List) -> Result<(), Error> {
     let client = Client::new(options.to.as_deref(), options.key_file.as_deref())?;
-    let reply = client.call(&Call::get("endpoints"))?;
-    let found: Endpoints = reply.json()?;
+    let response = client.call(&Call::get("endpoints"))?;
+    let list: Endpoints = response.json()?;
     if options.json {
-        println!("{}", String::from_utf8_lossy(&reply.body));
+        println!("{}", String::from_utf8_lossy(&response.body));
         return Ok(());
     }
-    let head = [
+    let header = [
         "ENDPOINT", "SERVICE", "VERSION", "DOMAIN", "ADDRESS", "SLOTS", "HERE", "HEARD BY", "STATE",
     ];
-    let mut rows = vec![head.map(str::to_owned).to_vec()];
-    for entry in found.endpoints {
+    let mut rows = vec![header.map(str::to_owned).to_vec()];
+    for entry in list.endpoints {
         let state = match (entry.lease_left_ms, entry.leaving) {
             (Some(0), _) => "silent",
             (_, true) => "leaving",
@@ -87,18 +88,18 @@
     Ok(())
 }
 
-/// Shows the instances that one instance knows, and what each has in force.
+/// Lists the instances that the called instance knows, with the revision in force on each.
 pub fn instances(options: &List) -> Result<(), Error> {
     let client = Client::new(options.to.as_deref(), options.key_file.as_deref())?;
-    let reply = client.call(&Call::get("instances"))?;
-    let found: Instances = reply.json()?;
+    let response = client.call(&Call::get("instances"))?;
+    let list: Instances = response.json()?;
     if options.json {
-        println!("{}", String::from_utf8_lossy(&reply.body));
+        println!("{}", String::from_utf8_lossy(&response.body));
         return Ok(());
     }
-    let head = ["INSTANCE", "DOMAIN", "HTTP", "REPLICA", "IN FORCE", "STATE"];
-    let mut rows = vec![head.map(str::to_owned).to_vec()];
-    for entry in found.instances {
+    let header = ["INSTANCE", "DOMAIN", "HTTP", "REPLICA", "IN FORCE", "STATE"];
+    let mut rows = vec![header.map(str::to_owned).to_vec()];
+    for entry in list.instances {
         let state = match (entry.live, entry.stopping) {
             (false, _) => "silent",
             (_, true) => "stopping",
@@ -114,7 +115,7 @@
         ]);
     }
     table::print(&rows);
-    let everywhere = if found.in_force_everywhere { "" } else { "not " };
-    println!("revision {} is {everywhere}in force on every live instance", found.revision);
+    let everywhere = if list.in_force_everywhere { "" } else { "not " };
+    println!("revision {} is {everywhere}in force on every live instance", list.revision);
     Ok(())
 }
--- a/crates/cli/src/client/mod.rs
+++ b/crates/cli/src/client/mod.rs
@@ -1,4 +1,4 @@
-//! What operators call: a client that tries several instances in turn.
+//! Commands that call instances, and their client, which tries several instances in turn.
 
 pub mod apply;
 mod call;
--- a/crates/cli/src/client/moves.rs
+++ b/crates/cli/src/client/moves.rs
@@ -1,4 +1,4 @@
-//! Shows version moves.
+//! Lists version moves, or waits for one.
 
 use super::{Call, Client, table};
 use crate::arguments::Moves;
@@ -7,11 +7,11 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// How often `--wait` looks again, in milliseconds.
-const LOOK_MS: u64 = 250;
+/// The polling interval of `--wait`, in milliseconds.
+const POLL_INTERVAL_MS: u64 = 250;
 
 #[derive(Deserialize)]
-struct Reply {
+struct MoveList {
     moves: BTreeMap<String, Move>,
 }
 
@@ -32,28 +32,28 @@
     to: String,
 }
 
-/// Shows all moves, or waits for one.
+/// Lists all moves, or waits for one to end.
 pub fn run(options: &Moves) -> Result<(), Error> {
     let client = Client::new(options.to.as_deref(), options.key_file.as_deref())?;
     if let Some(id) = &options.wait {
         return wait(&client, id);
     }
-    let reply = client.call(&Call::get("moves"))?;
-    let found: Reply = reply.json()?;
+    let response = client.call(&Call::get("moves"))?;
+    let list: MoveList = response.json()?;
     if options.json {
-        println!("{}", String::from_utf8_lossy(&reply.body));
+        println!("{}", String::from_utf8_lossy(&response.body));
         return Ok(());
     }
-    let head = ["MOVE", "SERVICE", "FROM", "TO", "PHASE", "SHARE", "IN TIME", "REASON"];
-    let mut rows = vec![head.map(str::to_owned).to_vec()];
-    for (id, entry) in found.moves {
+    let header = ["MOVE", "SERVICE", "FROM", "TO", "PHASE", "SHARE", "IN TIME", "REASON"];
+    let mut rows = vec![header.map(str::to_owned).to_vec()];
+    for (id, entry) in list.moves {
         rows.push(vec![
             id,
             entry.spec.service,
             entry.from,
             entry.spec.to,
             entry.phase,
-            share(entry.share_permille),
+            format_share(entry.share_permille),
             if entry.in_time { "yes" } else { "no" }.to_owned(),
             entry.reason,
         ]);
@@ -62,20 +62,20 @@
     Ok(())
 }
 
-fn share(permille: u32) -> String {
+fn format_share(permille: u32) -> String {
     format!("{}.{}%", permille / 10, permille % 10)
 }
 
 fn wait(client: &Client, id: &str) -> Result<(), Error> {
-    let mut shown = None;
+    let mut shown_step = None;
     loop {
-        let found: Reply = client.call(&Call::get("moves"))?.json()?;
-        let Some(entry) = found.moves.get(id) else {
+        let list: MoveList = client.call(&Call::get("moves"))?.json()?;
+        let Some(entry) = list.moves.get(id) else {
             return Err(Error::new(Code::Failed, format!("no move is named {id:?}")));
         };
-        if shown != Some(entry.step) {
-            println!("{} {} {}", entry.phase, share(entry.share_permille), entry.reason);
-            shown = Some(entry.step);
+        if shown_step != Some(entry.step) {
+            println!("{} {} {}", entry.phase, format_share(entry.share_permille), entry.reason);
+            shown_step = Some(entry.step);
         }
         match entry.phase.as_str() {
             "done" => return Ok(()),
@@ -85,7 +85,7 @@
                     format!("{id} was {}: {}", entry.phase, entry.reason),
                 ));
             }
-            _ => std::thread::sleep(Duration::from_millis(LOOK_MS)),
+            _ => std::thread::sleep(Duration::from_millis(POLL_INTERVAL_MS)),
         }
     }
 }
--- a/crates/cli/src/client/table.rs
+++ b/crates/cli/src/client/table.rs
@@ -1,6 +1,6 @@
-//! Tables that fit a terminal.
+//! Prints tables to the terminal.
 
-/// Prints rows in columns; the first row is the head.
+/// Prints rows in aligned columns; the first row is the header.
 pub fn print(rows: &[Vec<String>]) {
     let columns = rows.iter().map(Vec::len).max().unwrap_or(0);
     let width = |column: usize| {
--- a/crates/cli/src/exit.rs
+++ b/crates/cli/src/exit.rs
@@ -3,22 +3,22 @@
 use quick_error::quick_error;
 use std::process::ExitCode;
 
-/// What the process ends with.
+/// The exit code of the process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Code {
     /// The command could not be carried out.
     Failed = 1,
     /// The command line is wrong.
     Usage = 2,
-    /// A file or document breaks a rule.
+    /// A file or document is invalid.
     Invalid = 3,
-    /// Another submission came first.
+    /// Another submission was committed first.
     Conflict = 4,
-    /// Nothing was changed: no quorum, or no instance could be reached.
+    /// Nothing was changed: there was no quorum, or no instance could be reached.
     NotApplied = 5,
     /// It is not known whether anything was changed.
     Unknown = 6,
-    /// The move was taken back or superseded.
+    /// The move was reverted or superseded.
     Reverted = 7,
 }
 
@@ -32,22 +32,22 @@
     /// The error that ends a command.
     #[derive(Debug)]
     pub enum Error {
-        /// A message for the operator, with the exit code.
-        Ended(code: Code, message: String) {
+        /// The command failed: exit code and message for the operator.
+        Exit(code: Code, message: String) {
             display("{}", message)
         }
     }
 }
 
 impl Error {
-    /// Makes an error that ends the process with `code`.
+    /// Returns an error that ends the process with `code`.
     pub fn new(code: Code, message: impl Into<String>) -> Self {
-        Self::Ended(code, message.into())
+        Self::Exit(code, message.into())
     }
 
     /// Returns the exit code.
     pub fn code(&self) -> Code {
-        let Self::Ended(code, _) = self;
+        let Self::Exit(code, _) = self;
         *code
     }
 }
--- a/crates/cli/src/trace/cause.rs
+++ b/crates/cli/src/trace/cause.rs
@@ -1,20 +1,21 @@
-//! What the end of a request means, by its own line and those that bear on it.
+//! Explains the end of a request from its own line and the related ones.
 
 use super::lines::Line;
-use super::{BEFORE_S, attempts};
+use super::{LOOKBACK_S, attempts};
 
-/// Says why a request ended as it did.
+/// Explains why a request ended as it did.
 ///
-/// `around` are the lines that bear on it, `beside` the ends of other requests of that time.
-pub(super) fn of(end: &Line, around: &[&Line], beside: &[&Line]) -> String {
+/// `related` are the lines related to the request, `concurrent` the ends of other requests in the
+/// same time span.
+pub(super) fn explain(end: &Line, related: &[&Line], concurrent: &[&Line]) -> String {
     match end.text("end") {
-        "overloaded" => overloaded(end, around, beside),
-        "quota_exceeded" => quota_exceeded(end, beside),
-        "no_endpoint" => no_endpoint(end, around),
+        "overloaded" => overloaded(end, related, concurrent),
+        "quota_exceeded" => quota_exceeded(end, concurrent),
+        "no_endpoint" => no_endpoint(end, related),
         "not_ready" => "the instance had no route document that a quorum had confirmed".to_owned(),
-        "unauthorized" | "not_found" => not_allowed(end, around),
+        "unauthorized" | "not_found" => not_admitted(end, related),
         "outcome_unknown" | "cut" | "timed_out" | "timed out in its stream" | "endpoint_failed" => {
-            failed_in_the_middle(end, beside)
+            failed_in_flight(end, concurrent)
         }
         status if status.starts_with('2') => "none: it was answered with success".to_owned(),
         status if status.starts_with(|first: char| first.is_ascii_digit()) => {
@@ -24,54 +25,54 @@
     }
 }
 
-fn overloaded(end: &Line, around: &[&Line], beside: &[&Line]) -> String {
+fn overloaded(end: &Line, related: &[&Line], concurrent: &[&Line]) -> String {
     let service = end.text("service");
-    let same = beside.iter().filter(|line| line.text("service") == service);
+    let same = concurrent.iter().filter(|line| line.text("service") == service);
     let (refused, all) = same.fold((0, 0), |(refused, all), line| {
         (refused + u32::from(line.text("end") == "overloaded"), all + 1)
     });
     let mut cause = format!(
         "{service} had no room in time: {refused} of {all} other requests for it were refused in \
-         the {BEFORE_S} s before, this one after {} ms of waiting",
+         the {LOOKBACK_S} s before, this one after {} ms of waiting",
         end.number("waited_ms")
     );
     if attempts(end).any(|(_, outcome)| outcome == "Rejected") {
         cause += "; its endpoint turned it away first";
     }
-    let lost = count(around, "endpoint lost: its lease has ended");
+    let lost = count(related, "endpoint lost: its lease has ended");
     if lost > 0 {
         cause += &format!("; {lost} endpoints were lost meanwhile");
     }
-    if last(around, "leader lost", "requests are placed by the leader").is_some() {
+    if last_unended(related, "leader lost", "requests are placed by the leader").is_some() {
         cause += "; no leader placed requests, the instance did by itself";
     }
     cause
 }
 
-fn quota_exceeded(end: &Line, beside: &[&Line]) -> String {
+fn quota_exceeded(end: &Line, concurrent: &[&Line]) -> String {
     let account = end.text("account");
-    let same = beside.iter().filter(|line| line.text("account") == account);
+    let same = concurrent.iter().filter(|line| line.text("account") == account);
     let served = same.filter(|line| line.text("end").starts_with('2'));
     let tokens: u64 = served.map(|line| line.number("tokens")).sum();
     format!(
-        "{account} had used its quota: {tokens} tokens in the {BEFORE_S} s before, by these files"
+        "{account} had used its quota: {tokens} tokens in the {LOOKBACK_S} s before, by these files"
     )
 }
 
-fn no_endpoint(end: &Line, around: &[&Line]) -> String {
-    let lost = count(around, "endpoint lost: its lease has ended")
-        + count(around, "endpoint withdrawn")
-        + count(around, "endpoint forgotten: nobody watches over it");
+fn no_endpoint(end: &Line, related: &[&Line]) -> String {
+    let lost = count(related, "endpoint lost: its lease has ended")
+        + count(related, "endpoint withdrawn")
+        + count(related, "endpoint forgotten: nobody watches over it");
     format!("no endpoint of {} took work; {lost} were lost or left before", end.text("service"))
 }
 
-fn not_allowed(end: &Line, around: &[&Line]) -> String {
+fn not_admitted(end: &Line, related: &[&Line]) -> String {
     let what = match end.text("end") {
         "unauthorized" => "its key is in no client account",
         _ => "no route has its host and path",
     };
     let revision = end.number("revision");
-    let newer = around.iter().filter(|line| line.message == "state taken");
+    let newer = related.iter().filter(|line| line.message == "state taken");
     let newest = newer.map(|line| line.number("revision")).max().unwrap_or(revision);
     if newest > revision {
         return format!("{what} by revision {revision}, but {newest} was known elsewhere by then");
@@ -79,11 +80,11 @@
     format!("{what} by revision {revision}, the newest in these files")
 }
 
-fn failed_in_the_middle(end: &Line, beside: &[&Line]) -> String {
+fn failed_in_flight(end: &Line, concurrent: &[&Line]) -> String {
     let Some((endpoint, outcome)) = attempts(end).last() else {
         return "its time was over before it was sent to an endpoint".to_owned();
     };
-    let others = beside.iter().flat_map(|line| attempts(line));
+    let others = concurrent.iter().flat_map(|line| attempts(line));
     let (failed, all) = others
         .filter(|(other, _)| *other == endpoint)
         .fold((0, 0), |(failed, all), (_, outcome)| {
@@ -91,7 +92,7 @@
         });
     format!(
         "endpoint {endpoint} ended it as {outcome}; {failed} of {all} other requests there failed \
-         in the {BEFORE_S} s before"
+         in the {LOOKBACK_S} s before"
     )
 }
 
@@ -99,8 +100,9 @@
     lines.iter().filter(|line| line.message == message).count()
 }
 
-/// Returns the last line that begins with `message`, unless one of `ending` came after it.
-fn last<'a>(lines: &[&'a Line], message: &str, ending: &str) -> Option<&'a Line> {
+/// Returns the last line whose message starts with `prefix`, unless a line with the message
+/// `ending` follows it.
+fn last_unended<'a>(lines: &[&'a Line], prefix: &str, ending: &str) -> Option<&'a Line> {
     let mut found = lines.iter().rev().take_while(|line| line.message != ending);
-    found.find(|line| line.message.starts_with(message)).copied()
+    found.find(|line| line.message.starts_with(prefix)).copied()
 }
--- a/crates/cli/src/trace/lines.rs
+++ b/crates/cli/src/trace/lines.rs
@@ -1,4 +1,4 @@
-//! Log lines of any process.
+//! Reads the JSON log lines of instances.
 
 use crate::exit::{Code, Error};
 use serde::Deserialize;
@@ -6,8 +6,9 @@
 use std::io::{BufRead, BufReader};
 use std::path::Path;
 
-/// Lines about what an instance depends on, or about its own life.
-const ABOUT_DEPENDENCIES: [&str; 12] = [
+/// Messages about the start and stop of an instance, or about what it depends on: the leader, the
+/// replicas, the replicated state and the log itself.
+const CLUSTER_EVENTS: [&str; 12] = [
     "became the leader",
     "lost leadership",
     "leader lost: requests are placed here",
@@ -22,33 +23,33 @@
     "log lines dropped",
 ];
 
-/// A line as processes write it.
+/// A log line as instances write it.
 #[derive(Deserialize)]
-struct WireLine {
+struct RawLine {
     timestamp: u64,
     payload: String,
     #[serde(default)]
     kv: Map<String, Value>,
 }
 
-/// A line of a log file.
+/// A log line and the file that it comes from.
 #[derive(Debug)]
 pub(super) struct Line {
-    /// When it was written, in milliseconds since the Unix epoch, by its machine's clock.
+    /// When it was written, by the clock of its machine, in milliseconds since the Unix epoch.
     pub(super) time_ms: u64,
-    /// The name of its file, without folders and ending.
+    /// The name of its file, without folder and extension.
     pub(super) source: String,
     pub(super) message: String,
     pub(super) fields: Map<String, Value>,
 }
 
 impl Line {
-    /// Returns a field's text, empty where there is none.
+    /// Returns a field as text; empty if it is missing or no text.
     pub(super) fn text(&self, field: &str) -> &str {
         self.fields.get(field).and_then(Value::as_str).unwrap_or_default()
     }
 
-    /// Returns a field's number, 0 where there is none.
+    /// Returns a field as a number; 0 if it is missing or no number.
     pub(super) fn number(&self, field: &str) -> u64 {
         self.fields.get(field).and_then(Value::as_u64).unwrap_or_default()
     }
@@ -57,11 +58,11 @@
         self.message == "request" && self.text("id") == id
     }
 
-    pub(super) fn is_about_dependencies(&self) -> bool {
-        ABOUT_DEPENDENCIES.contains(&self.message.as_str())
+    pub(super) fn is_cluster_event(&self) -> bool {
+        CLUSTER_EVENTS.contains(&self.message.as_str())
     }
 
-    /// Returns all fields in one text.
+    /// Returns all fields as `name=value`, separated by spaces.
     pub(super) fn fields(&self) -> String {
         let field = |(name, value): (&String, &Value)| match value {
             Value::String(text) => format!("{name}={text}"),
@@ -71,21 +72,21 @@
     }
 }
 
-/// Reads log files; what is no line of ours is passed over.
+/// Reads log files; text that is no log line of an instance is skipped.
 ///
 /// # Errors
-/// Names the first file that cannot be read.
+/// Fails at the first file that cannot be read.
 pub(super) fn read(paths: &[String]) -> Result<Vec<Line>, Error> {
     let mut lines = Vec::new();
     for_each(paths, |line| lines.push(line))?;
     Ok(lines)
 }
 
-/// Reads log files line by line; what is no line of ours is passed over.
+/// Calls `handle` for each line of log files; text that is no log line of an instance is skipped.
 ///
 /// # Errors
-/// Names the first file that cannot be read.
-pub(super) fn for_each(paths: &[String], mut take: impl FnMut(Line)) -> Result<(), Error> {
+/// Fails at the first file that cannot be read.
+pub(super) fn for_each(paths: &[String], mut handle: impl FnMut(Line)) -> Result<(), Error> {
     for path in paths {
         let fail = |error| Error::new(Code::Invalid, format!("cannot read {path}: {error}"));
         let file = std::fs::File::open(path).map_err(fail)?;
@@ -93,10 +94,10 @@
         let source = stem.to_string_lossy().into_owned();
         for text in BufReader::new(file).split(b'\n') {
             let text = text.map_err(fail)?;
-            // Some tools write the time and the machine before what a process wrote.
-            let begin = text.iter().position(|byte| *byte == b'{').unwrap_or(0);
-            let Ok(line) = serde_json::from_slice::<WireLine>(&text[begin..]) else { continue };
-            take(Line {
+            // Some log tools prefix each line with the time and the machine.
+            let start = text.iter().position(|byte| *byte == b'{').unwrap_or(0);
+            let Ok(line) = serde_json::from_slice::<RawLine>(&text[start..]) else { continue };
+            handle(Line {
                 time_ms: line.timestamp,
                 source: source.clone(),
                 message: line.payload,
--- a/crates/cli/src/trace/mod.rs
+++ b/crates/cli/src/trace/mod.rs
@@ -1,8 +1,8 @@
-//! Follows a request's id through log files, from its end to its cause.
+//! Follows a request through log files by its id, and explains how it ended.
 //!
 //! * [`lines`] reads log files.
-//! * [`cause`] says what the end of a request means.
-//! * [`summary`] adds up what became of all of them.
+//! * [`cause`] explains why a request ended as it did.
+//! * [`summary`] summarizes the ends of all requests.
 
 mod cause;
 mod lines;
@@ -14,14 +14,14 @@
 use serde_json::json;
 use std::collections::BTreeSet;
 
-/// How long before the request's begin other lines may bear on it, in seconds: a lease ends 4.5 s
-/// after an endpoint was last heard.
-const BEFORE_S: u64 = 5;
+/// How long before a request's start other lines may be related to it, in seconds: a lease ends
+/// 4.5 s after the last announcement of its endpoint.
+const LOOKBACK_S: u64 = 5;
 
-/// Prints what the files say of a request, and the cause of its end.
+/// Prints the log lines related to a request, and the cause of its end.
 pub fn run(options: &Trace) -> Result<(), Error> {
     let lines = lines::read(&options.files)?;
-    let trace = Trail::of(&options.id, &lines).ok_or_else(|| {
+    let trace = RequestTrace::of(&options.id, &lines).ok_or_else(|| {
         let message = format!("{}: no line of its end in {} lines", options.id, lines.len());
         Error::new(Code::Failed, message)
     })?;
@@ -33,33 +33,33 @@
     Ok(())
 }
 
-/// A request's lines, with those of others that bear on it.
-struct Trail<'a> {
-    /// The line of its end.
+/// A request's log lines, and the related lines of endpoints and instances.
+struct RequestTrace<'a> {
+    /// The line that the request logs at its end.
     end: &'a Line,
     started_ms: u64,
     lines: Vec<&'a Line>,
     cause: String,
 }
 
-impl<'a> Trail<'a> {
+impl<'a> RequestTrace<'a> {
     fn of(id: &str, lines: &'a [Line]) -> Option<Self> {
         let end = lines.iter().find(|line| line.is_end_of(id))?;
         let started_ms = end.time_ms.saturating_sub(end.number("total_ms"));
         let endpoints: BTreeSet<&str> = attempts(end).map(|(endpoint, _)| endpoint).collect();
-        let span = started_ms.saturating_sub(BEFORE_S * 1_000)..=end.time_ms;
-        let bears = |line: &&Line| {
+        let span = started_ms.saturating_sub(LOOKBACK_S * 1_000)..=end.time_ms;
+        let is_related = |line: &&Line| {
             line.text("id") == id
                 || span.contains(&line.time_ms)
-                    && (endpoints.contains(line.text("endpoint")) || line.is_about_dependencies())
+                    && (endpoints.contains(line.text("endpoint")) || line.is_cluster_event())
         };
-        let mut chosen: Vec<&Line> = lines.iter().filter(bears).collect();
-        chosen.sort_by_key(|line| line.time_ms);
-        let beside = lines.iter().filter(|line| {
+        let mut related: Vec<&Line> = lines.iter().filter(is_related).collect();
+        related.sort_by_key(|line| line.time_ms);
+        let concurrent = lines.iter().filter(|line| {
             line.message == "request" && span.contains(&line.time_ms) && line.text("id") != id
         });
-        let cause = cause::of(end, &chosen, &beside.collect::<Vec<_>>());
-        Some(Self { end, started_ms, lines: chosen, cause })
+        let cause = cause::explain(end, &related, &concurrent.collect::<Vec<_>>());
+        Some(Self { end, started_ms, lines: related, cause })
     }
 
     fn print(&self) {
@@ -82,17 +82,18 @@
     }
 }
 
-/// Returns the endpoints that a request was sent to, each with the outcome.
+/// Returns the attempts of a request: the endpoint and the outcome of each.
 fn attempts(end: &Line) -> impl Iterator<Item = (&str, &str)> {
-    attempts_timed(end).map(|(endpoint, outcome, _)| (endpoint, outcome))
+    timed_attempts(end).map(|(endpoint, outcome, _)| (endpoint, outcome))
 }
 
-/// Returns the same with how long each took, in milliseconds.
-fn attempts_timed(end: &Line) -> impl Iterator<Item = (&str, &str, u64)> {
+/// Returns the attempts of a request: the endpoint, the outcome and the duration in milliseconds of
+/// each.
+fn timed_attempts(end: &Line) -> impl Iterator<Item = (&str, &str, u64)> {
     let attempts = end.text("attempts").split(' ');
     attempts.filter_map(|attempt| {
         let (endpoint, outcome) = attempt.split_once('=')?;
-        let (outcome, took) = outcome.split_once('@')?;
-        Some((endpoint, outcome, took.strip_suffix("ms")?.parse().ok()?))
+        let (outcome, duration) = outcome.split_once('@')?;
+        Some((endpoint, outcome, duration.strip_suffix("ms")?.parse().ok()?))
     })
 }
--- a/crates/cli/src/trace/summary.rs
+++ b/crates/cli/src/trace/summary.rs
@@ -1,17 +1,18 @@
-//! What became of all requests in log files: what was not served, when, whose and why; what refused
-//! callers were told and what they found; where slots were held.
+//! Summarizes the ends of all requests in log files: which were not served, when, why and for which
+//! client accounts; the retry times given to refused callers and the ends of their repeated
+//! requests; and for how long requests held slots.
 
-use super::attempts_timed;
 use super::lines::{self, Line};
+use super::timed_attempts;
 use crate::arguments::Summary;
 use crate::exit::Error;
 use serde_json::{Value, json};
 use std::collections::BTreeMap;
 
-/// The unit of time of the tables, in milliseconds.
+/// The length of an interval of the time tables, in milliseconds.
 const SECOND_MS: u64 = 1_000;
 
-/// Prints what became of the requests in the files.
+/// Prints the summary of the requests in the files.
 pub fn run(options: &Summary) -> Result<(), Error> {
     let mut totals = Totals::default();
     lines::for_each(&options.files, |line| {
@@ -27,15 +28,15 @@
     Ok(())
 }
 
-/// How requests ended.
+/// Counts of requests by how they ended.
 #[derive(Clone, Debug, Default)]
-struct Ends {
+struct EndCounts {
     served: u64,
-    /// Those that were not, by how they ended.
+    /// The requests that were not served, by how they ended.
     unserved: BTreeMap<String, u64>,
 }
 
-impl Ends {
+impl EndCounts {
     fn add(&mut self, end: &str) {
         if end.starts_with('2') {
             self.served += 1;
@@ -58,36 +59,36 @@
     }
 }
 
-/// Requests of one rank of a service.
+/// The requests of one rank of a service.
 #[derive(Clone, Debug, Default)]
 struct Rank {
-    first: Ends,
-    /// Those that had been refused before.
-    returned: Ends,
-    /// For how long they held slots, in milliseconds.
+    first: EndCounts,
+    /// The requests of callers that return after a refusal.
+    returned: EndCounts,
+    /// The total time for which they held slots, in milliseconds.
     held_ms: u64,
 }
 
-/// What callers were told that were refused for one reason.
+/// The waits and the retry times of requests that were refused for one reason.
 #[derive(Clone, Debug, Default)]
-struct Told {
+struct Refusals {
     waited_ms: Vec<u64>,
     retry_after_ms: Vec<u64>,
 }
 
 #[derive(Clone, Debug, Default)]
 struct Second {
-    ends: Ends,
-    /// For how long requests of each rank held slots, in milliseconds.
+    ends: EndCounts,
+    /// The total time for which requests of each rank held slots, in milliseconds.
     held_ms: BTreeMap<u64, u64>,
 }
 
 #[derive(Debug, Default)]
 struct Totals {
     ranks: BTreeMap<(String, u64), Rank>,
-    accounts: BTreeMap<String, Ends>,
-    told: BTreeMap<String, Told>,
-    /// By second since the Unix epoch in which they came.
+    accounts: BTreeMap<String, EndCounts>,
+    refusals: BTreeMap<String, Refusals>,
+    /// By second of arrival since the Unix epoch.
     seconds: BTreeMap<u64, Second>,
 }
 
@@ -106,23 +107,23 @@
         self.accounts.entry(line.text("account").to_owned()).or_default().add(end);
         let retry_after_ms = line.number("retry_after_ms");
         if retry_after_ms > 0 {
-            let told = self.told.entry(end.to_owned()).or_default();
-            told.waited_ms.push(line.number("waited_ms"));
-            told.retry_after_ms.push(retry_after_ms);
+            let refusals = self.refusals.entry(end.to_owned()).or_default();
+            refusals.waited_ms.push(line.number("waited_ms"));
+            refusals.retry_after_ms.push(retry_after_ms);
         }
-        let came_ms = line.time_ms.saturating_sub(line.number("total_ms"));
-        self.seconds.entry(came_ms / SECOND_MS).or_default().ends.add(end);
+        let arrived_ms = line.time_ms.saturating_sub(line.number("total_ms"));
+        self.seconds.entry(arrived_ms / SECOND_MS).or_default().ends.add(end);
         let mut ended_ms = line.time_ms;
-        let attempts: Vec<u64> = attempts_timed(line).map(|(_, _, took_ms)| took_ms).collect();
+        let attempts: Vec<u64> = timed_attempts(line).map(|(_, _, took_ms)| took_ms).collect();
         for took_ms in attempts.into_iter().rev() {
             rank.held_ms += took_ms;
-            let began_ms = ended_ms.saturating_sub(took_ms);
-            hold(&mut self.seconds, rank_number, began_ms, ended_ms);
-            ended_ms = began_ms;
+            let started_ms = ended_ms.saturating_sub(took_ms);
+            add_held(&mut self.seconds, rank_number, started_ms, ended_ms);
+            ended_ms = started_ms;
         }
     }
 
-    /// Returns the tables' rows by second, numbered from the first one.
+    /// Returns the seconds, numbered from the first one.
     fn rows(&self) -> impl Iterator<Item = (u64, &Second)> {
         let first = self.seconds.keys().next().copied().unwrap_or_default();
         self.seconds.iter().map(move |(second, row)| (second - first, row))
@@ -149,9 +150,10 @@
             println!("{account:>16}: {:>6} served; {}", ends.served, ends.text());
         }
         println!("\nrefusals: how long they waited and when they were told to come back, in ms");
-        for (end, told) in &self.told {
-            let (waited, after) = (quartiles(&told.waited_ms), quartiles(&told.retry_after_ms));
-            let count = told.waited_ms.len();
+        for (end, refusals) in &self.refusals {
+            let (waited, after) =
+                (quartiles(&refusals.waited_ms), quartiles(&refusals.retry_after_ms));
+            let count = refusals.waited_ms.len();
             println!("{end:>16}: {count:>6}; waited {waited:?}, told {after:?} (quartiles)");
         }
         println!("\nby second: slots held by rank 0, 1, ...; not served of those that came");
@@ -174,11 +176,11 @@
             })
         });
         let accounts = self.accounts.iter().map(|(name, ends)| (name.clone(), ends.json()));
-        let told = self.told.iter().map(|(end, told)| {
+        let refusals = self.refusals.iter().map(|(end, refusals)| {
             let quartiles = json!({
-                "count": told.waited_ms.len(),
-                "waited_ms": quartiles(&told.waited_ms),
-                "retry_after_ms": quartiles(&told.retry_after_ms),
+                "count": refusals.waited_ms.len(),
+                "waited_ms": quartiles(&refusals.waited_ms),
+                "retry_after_ms": quartiles(&refusals.retry_after_ms),
             });
             (end.clone(), quartiles)
         });
@@ -190,15 +192,16 @@
         json!({
             "ranks": ranks.collect::<Vec<_>>(),
             "accounts": accounts.collect::<serde_json::Map<_, _>>(),
-            "refusals": told.collect::<serde_json::Map<_, _>>(),
+            "refusals": refusals.collect::<serde_json::Map<_, _>>(),
             "seconds": seconds.collect::<Vec<_>>(),
         })
     }
 }
 
-/// Adds the time from `began_ms` to `ended_ms` to the seconds in which it lies.
-fn hold(seconds: &mut BTreeMap<u64, Second>, rank: u64, began_ms: u64, ended_ms: u64) {
-    let mut at_ms = began_ms;
+/// Divides the time from `started_ms` to `ended_ms`, for which a request held a slot, among the
+/// seconds in which it lies.
+fn add_held(seconds: &mut BTreeMap<u64, Second>, rank: u64, started_ms: u64, ended_ms: u64) {
+    let mut at_ms = started_ms;
     while at_ms < ended_ms {
         let next_ms = ((at_ms / SECOND_MS + 1) * SECOND_MS).min(ended_ms);
         let second = seconds.entry(at_ms / SECOND_MS).or_default();
@@ -207,7 +210,7 @@
     }
 }
 
-/// Returns the quartiles, and the median between them.
+/// Returns the lower quartile, the median and the upper quartile; zeros if there are no values.
 fn quartiles(values: &[u64]) -> [u64; 3] {
     let mut sorted = values.to_vec();
     sorted.sort_unstable();
