--- a/crates/peer/src/entry/mod.rs
+++ b/crates/peer/src/entry/mod.rs
@@ -52,7 +52,7 @@
     links: Links,
     views: Arc<Latest<EntryView>>,
     known: RefCell<Known>,
-    heard_from: ReplicaPositions,
+    replica_positions: ReplicaPositions,
 }
 
 /// What the control thread has learned from replicas.
@@ -117,8 +117,8 @@
         known.add_seeds(&settings.seeds);
         let links = Links::new(settings, clock, executor.clone());
         let known = RefCell::new(known);
-        let heard_from = ReplicaPositions::default();
-        Rc::new(Self { clock, timers, executor, links, views, known, heard_from })
+        let replica_positions = ReplicaPositions::default();
+        Rc::new(Self { clock, timers, executor, links, views, known, replica_positions })
     }
 
     /// Runs the control thread, with `background` on the same thread, until the channel `seeds` closes.
@@ -300,7 +300,7 @@
 
 impl Watcher for NodeWatcher {
     fn replica_positions(&self) -> &ReplicaPositions {
-        &self.0.heard_from
+        &self.0.replica_positions
     }
 
     fn revision(&self) -> u64 {
@@ -311,26 +311,26 @@
         self.0.known.borrow().addresses.get(peer).cloned()
     }
 
-    fn apply_update(&self, from: &InstanceName, news: WatchUpdate) {
+    fn apply_update(&self, from: &InstanceName, update: WatchUpdate) {
         let node = &self.0;
         let now_ms = node.clock.now_ms();
         let (changed, must_fetch, new_replicas) = {
             let mut known = node.known.borrow_mut();
             let mut changed = known.reachable.insert(from.clone());
-            if news.restarted {
+            if update.restarted {
                 known.directory.mark_restarted(now_ms, from);
             }
-            changed |= known.directory.apply_direct(now_ms, from, news.heard, news.listings);
-            changed |= known.directory.apply_relayed(now_ms, from, news.relays);
-            if news.leader.is_some() && known.leader != news.leader {
-                known.leader = news.leader;
+            changed |= known.directory.apply_direct(now_ms, from, update.heard, update.listings);
+            changed |= known.directory.apply_relayed(now_ms, from, update.relays);
+            if update.leader.is_some() && known.leader != update.leader {
+                known.leader = update.leader;
                 changed = true;
             }
             let known_before = known.addresses.len();
-            known.add_replicas(news.replicas);
-            let must_fetch = news.revision > known.state.revision && known.fetching.is_none();
+            known.add_replicas(update.replicas);
+            let must_fetch = update.revision > known.state.revision && known.fetching.is_none();
             if must_fetch {
-                known.fetching = Some(news.revision);
+                known.fetching = Some(update.revision);
             }
             (changed, must_fetch, known.addresses.len() > known_before)
         };
--- a/crates/peer/src/node/bootstrap.rs
+++ b/crates/peer/src/node/bootstrap.rs
@@ -8,18 +8,18 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Delay before an empty replica queries the founders again, in milliseconds.
+/// Delay before an empty replica queries the bootstrap replicas again, in milliseconds.
 const RETRY_MS: u64 = 200;
 
 impl Node {
-    /// Queries the founders until this replica can bootstrap or a leader sends it the log.
+    /// Queries the bootstrap replicas until this replica can bootstrap or a leader sends it the log.
     pub(super) async fn bootstrap(self: Rc<Self>) {
-        let founders = self.settings.bootstrap_replicas();
+        let replicas = self.settings.bootstrap_replicas();
         while !self.is_bootstrapped() {
-            let statuses = self.request_founder_statuses(&founders).await;
+            let statuses = self.request_statuses(&replicas).await;
             let own = self.replica_status().id;
             let name = &self.settings.instance;
-            let outcome = bootstrap::decide(own, name, &founders, &statuses);
+            let outcome = bootstrap::decide(own, name, &replicas, &statuses);
             if let Outcome::Bootstrap(config) = outcome
                 && (self.settings.may_found
                     || statuses.values().any(|status| status.config == config))
@@ -36,17 +36,14 @@
         self.core.borrow().replica().is_none_or(|replica| replica.is_bootstrapped())
     }
 
-    async fn request_founder_statuses(
-        &self,
-        founders: &[InstanceName],
-    ) -> BTreeMap<InstanceName, Status> {
+    async fn request_statuses(&self, replicas: &[InstanceName]) -> BTreeMap<InstanceName, Status> {
         let mut statuses = BTreeMap::new();
-        for founder in founders.iter().filter(|name| **name != self.settings.instance) {
-            match self.request_status(founder).await {
+        for replica in replicas.iter().filter(|name| **name != self.settings.instance) {
+            match self.request_status(replica).await {
                 Ok(status) => {
-                    statuses.insert(founder.clone(), status);
+                    statuses.insert(replica.clone(), status);
                 }
-                Err(error) => spdlog::debug!("founder status request failed", kv: { error: }),
+                Err(error) => spdlog::debug!("bootstrap status request failed", kv: { error: }),
             }
         }
         statuses
--- a/crates/peer/src/node/census.rs
+++ b/crates/peer/src/node/cluster_status.rs
@@ -51,7 +51,7 @@
     }
 
     /// Returns the endpoints and instances known here.
-    pub(super) fn census(&self) -> ClusterStatus {
+    pub(super) fn cluster_status(&self) -> ClusterStatus {
         let now_ms = self.clock.now_ms();
         let core = self.core.borrow();
         let own = &self.settings.instance;
--- a/crates/peer/src/node/follow.rs
+++ b/crates/peer/src/node/follow.rs
@@ -64,9 +64,9 @@
             .filter(|known| known.record.replica_id != 0)
             .map(|known| known.record.instance.clone())
             .collect();
-        for founder in self.settings.bootstrap_replicas() {
-            if !replicas.contains(&founder) {
-                replicas.push(founder);
+        for replica in self.settings.bootstrap_replicas() {
+            if !replicas.contains(&replica) {
+                replicas.push(replica);
             }
         }
         replicas.retain(|name| name != own);
--- a/crates/peer/src/node/mod.rs
+++ b/crates/peer/src/node/mod.rs
@@ -2,7 +2,7 @@
 
 mod bootstrap;
 mod calls;
-mod census;
+mod cluster_status;
 mod directory;
 mod dispatch;
 mod driver;
@@ -77,7 +77,7 @@
     /// The number of watch requests that are waiting for a reply.
     watchers: Cell<usize>,
     /// The latest watch request of each watching instance that has no replica.
-    polls: RefCell<census::Polls>,
+    polls: RefCell<cluster_status::Polls>,
     /// The replicas whose directories are watched.
     watched_replicas: RefCell<BTreeSet<InstanceName>>,
     /// The position reached in the local changes of each watched replica.
--- a/crates/peer/src/node/requests.rs
+++ b/crates/peer/src/node/requests.rs
@@ -16,7 +16,7 @@
             ControlRequest::AnnounceToDirectory(record) => self.announce_endpoint(record),
             ControlRequest::ClusterStatus(sender) => {
                 // The send fails only if the caller no longer waits.
-                let _ = sender.try_send(self.census());
+                let _ = sender.try_send(self.cluster_status());
             }
             ControlRequest::Withdraw(endpoint, sender) => {
                 // The send fails only if the caller no longer waits.
--- a/crates/peer/src/server.rs
+++ b/crates/peer/src/server.rs
@@ -198,30 +198,30 @@
     ) -> Result<(), capnp::Error> {
         let params = params.get()?;
         let leader = read_text(params.get_leader())?;
-        let told = WatchPosition {
+        let position = WatchPosition {
             local: Heard { epoch: params.get_epoch(), change: params.get_change() },
             relayed: params.get_relayed(),
             heard: lycheehub_wire::read_heard(params.get_heard()?)?,
             revision: params.get_revision(),
             leader: (!leader.is_empty()).then(|| InstanceName::new(leader)),
         };
-        if told.revision != REVISION_FROM_LOG {
+        if position.revision != REVISION_FROM_LOG {
             let sender = InstanceName::from(read_text(params.get_sender())?);
-            self.node.record_poll(&sender, told.revision);
+            self.node.record_poll(&sender, position.revision);
         }
-        let watched = self.node.wait_for_changes(&told, u64::from(params.get_wait_ms())).await;
+        let changes = self.node.wait_for_changes(&position, u64::from(params.get_wait_ms())).await;
         let mut reply = results.get();
-        reply.set_epoch(watched.local.epoch);
-        reply.set_change(watched.local.change);
-        reply.set_relayed(watched.relayed);
-        reply.set_revision(watched.revision);
-        reply.set_leader(watched.leader.as_ref().map_or("", InstanceName::as_str));
-        let count = watched.listings.len() as u32;
-        lycheehub_wire::write_listings(&watched.listings, reply.reborrow().init_listings(count));
-        let count = watched.relays.len() as u32;
-        lycheehub_wire::write_listings(&watched.relays, reply.reborrow().init_relays(count));
-        let mut replicas = reply.init_replicas(watched.replicas.len() as u32);
-        for (index, (instance, address)) in (0..).zip(&watched.replicas) {
+        reply.set_epoch(changes.local.epoch);
+        reply.set_change(changes.local.change);
+        reply.set_relayed(changes.relayed);
+        reply.set_revision(changes.revision);
+        reply.set_leader(changes.leader.as_ref().map_or("", InstanceName::as_str));
+        let count = changes.listings.len() as u32;
+        lycheehub_wire::write_listings(&changes.listings, reply.reborrow().init_listings(count));
+        let count = changes.relays.len() as u32;
+        lycheehub_wire::write_listings(&changes.relays, reply.reborrow().init_relays(count));
+        let mut replicas = reply.init_replicas(changes.replicas.len() as u32);
+        for (index, (instance, address)) in (0..).zip(&changes.replicas) {
             let mut entry = replicas.reborrow().get(index);
             entry.set_instance(instance.as_str());
             entry.set_address(&**address);
--- a/crates/proxy/src/exchange/filters.rs
+++ b/crates/proxy/src/exchange/filters.rs
@@ -20,7 +20,7 @@
     let route = find_route(exchange)?;
     check_stop(exchange, route)?;
     let (account, tier) = find_account(exchange, route)?;
-    let service = draw_service(exchange, route)?;
+    let service = choose_service(exchange, route)?;
     Ok(ResolvedRequest { route: route.clone(), service, account, tier })
 }
 
@@ -69,9 +69,9 @@
     Err(Refusal::new(RefusalKind::Unauthorized, "the key belongs to no client account"))
 }
 
-fn draw_service(exchange: &Exchange<'_>, route: &RouteSpec) -> Result<ServiceName, Refusal> {
-    let drawn = choose_target(&route.targets, &exchange.fields.id);
-    drawn
+fn choose_service(exchange: &Exchange<'_>, route: &RouteSpec) -> Result<ServiceName, Refusal> {
+    let chosen = choose_target(&route.targets, &exchange.fields.id);
+    chosen
         .cloned()
         .ok_or_else(|| Refusal::new(RefusalKind::UnknownService, "the route has no service"))
 }
