--- a/crates/control/tests/control/moves.rs
+++ b/crates/control/tests/control/moves.rs
@@ -189,7 +189,7 @@
     }
 }
 
-/// The baseline strategies with a threshold_rule threshold rule.
+/// The fixed thresholds by which the baseline strategies revert.
 #[derive(Default)]
 struct ThresholdRule {
     old: Observation,
