--- a/crates/cli/src/roles/http.rs
+++ b/crates/cli/src/roles/http.rs
@@ -27,7 +27,7 @@
                 executor.spawn(serve_connection(stream, handler.clone())).detach();
             }
             Err(error) => {
-                spdlog::warn!("cannot accept a connection", kv: { error: });
+                spdlog::warn!("failed to accept a connection", kv: { error: });
                 Timer::after(Duration::from_millis(ACCEPT_RETRY_MS)).await;
             }
         }
@@ -40,7 +40,7 @@
     F: Future<Output = Response>,
 {
     if let Err(error) = stream.set_nodelay(true) {
-        return spdlog::debug!("cannot set TCP_NODELAY; closing the connection", kv: { error: });
+        return spdlog::debug!("failed to set TCP_NODELAY on a new connection", kv: { error: });
     }
     let service = |request| {
         let response = handler(request);
--- a/crates/control/src/directory/changes.rs
+++ b/crates/control/src/directory/changes.rs
@@ -13,15 +13,15 @@
 
 /// The position up to which a watcher has received a replica's changes.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Heard {
+pub struct ChangePosition {
     /// The epoch of the replica, which changes when it restarts.
     pub epoch: u64,
     /// The number of the last change received.
     pub change: u64,
 }
 
-impl Heard {
-    fn covers(self, other: Heard) -> bool {
+impl ChangePosition {
+    fn covers(self, other: ChangePosition) -> bool {
         self.epoch == other.epoch && self.change >= other.change
     }
 }
@@ -72,19 +72,19 @@
 
     /// Returns at most `limit` changes received from other replicas after change number `change`
     /// and no later than `before_ms`. Changes that the watcher has received directly, as stated by
-    /// `heard`, are left out.
+    /// `positions`, are left out.
     pub fn relayed_changes_after(
         &self,
         change: u64,
         limit: usize,
         before_ms: u64,
-        heard: &BTreeMap<InstanceName, Heard>,
+        positions: &BTreeMap<InstanceName, ChangePosition>,
     ) -> Changes {
         let is_unseen = |entry: &Entry| match &entry.source {
             Source::Local => false,
             Source::Relayed => true,
             Source::Replica(replica, up_to) => {
-                !heard.get(replica).is_some_and(|heard| heard.covers(*up_to))
+                !positions.get(replica).is_some_and(|position| position.covers(*up_to))
             }
         };
         let remote = self.entries_after(&self.index.remote, change);
--- a/crates/control/src/directory/mod.rs
+++ b/crates/control/src/directory/mod.rs
@@ -8,7 +8,7 @@
 mod changes;
 
 use changes::ChangeIndex;
-pub use changes::{Changes, Heard};
+pub use changes::{ChangePosition, Changes};
 
 use lycheehub_types::{EndpointName, EndpointRecord, InstanceName};
 use std::collections::BTreeMap;
@@ -51,7 +51,7 @@
     /// This replica: an announcement, a withdrawal or an expired lease.
     Local,
     /// The replica that detected the change, with its position in that replica's changes.
-    Replica(InstanceName, Heard),
+    Replica(InstanceName, ChangePosition),
     /// A replica that relayed a change of another one.
     Relayed,
 }
@@ -143,16 +143,16 @@
         self.insert(now_ms, listing, LeaseMonitor::Local(now_ms), Source::Local)
     }
 
-    /// Applies changes that another replica detected itself, up to position `heard`; tells whether
+    /// Applies changes that another replica detected itself, up to `position`; tells whether
     /// anything changed.
     pub fn apply_direct(
         &mut self,
         now_ms: u64,
         from: &InstanceName,
-        heard: Heard,
+        position: ChangePosition,
         listings: Vec<Listing>,
     ) -> bool {
-        self.apply_all(now_ms, from, &Source::Replica(from.clone(), heard), listings)
+        self.apply_all(now_ms, from, &Source::Replica(from.clone(), position), listings)
     }
 
     /// Applies changes that another replica relays; tells whether anything changed.
--- a/crates/control/tests/control/directory.rs
+++ b/crates/control/tests/control/directory.rs
@@ -4,7 +4,7 @@
 use lycheehub_control::directory::batching::{
     Backlog, MAX_CHANGES_PER_REPLY, batch_delay_ms, relay_delay_ms,
 };
-use lycheehub_control::directory::{Directory, Heard, LEASE_MS, Listing, ORPHAN_MS};
+use lycheehub_control::directory::{ChangePosition, Directory, LEASE_MS, Listing, ORPHAN_MS};
 use lycheehub_types::{EndpointKind, EndpointLoad, EndpointRecord, InstanceName};
 use std::collections::BTreeMap;
 
@@ -34,7 +34,7 @@
 /// Sends all changes detected by `from` to `to`.
 fn propagate(now_ms: u64, from: &Directory, name: &InstanceName, to: &mut Directory) {
     let own = from.local_changes_after(0, usize::MAX);
-    to.apply_direct(now_ms, name, Heard { epoch: 1, change: own.up_to }, own.listings);
+    to.apply_direct(now_ms, name, ChangePosition { epoch: 1, change: own.up_to }, own.listings);
 }
 
 fn local_changes_after(directory: &Directory, change: u64) -> Vec<Listing> {
@@ -99,7 +99,7 @@
     before.announce(0, record("e", 1, 1));
     propagate(0, &before, &"peer".into(), &mut here);
     here.mark_restarted(1_000, &"peer".into());
-    here.apply_direct(1_100, &"peer".into(), Heard { epoch: 2, change: 0 }, vec![]);
+    here.apply_direct(1_100, &"peer".into(), ChangePosition { epoch: 2, change: 0 }, vec![]);
     expect_that!(here.expire(1_000 + ORPHAN_MS).len(), eq(1));
 }
 
@@ -166,7 +166,12 @@
         expect_that!(part.listings.len(), le(3));
         expect_that!(part.up_to, gt(told));
         told = part.up_to;
-        there.apply_direct(0, &"here".into(), Heard { epoch: 1, change: told }, part.listings);
+        there.apply_direct(
+            0,
+            &"here".into(),
+            ChangePosition { epoch: 1, change: told },
+            part.listings,
+        );
         parts += 1;
         if parts == 2 {
             here.announce(10, EndpointRecord { leaving: true, ..record("e0", 1, 2) });
@@ -270,7 +275,7 @@
 #[derive(Default)]
 struct Instance {
     directory: Directory,
-    heard: BTreeMap<InstanceName, Heard>,
+    heard: BTreeMap<InstanceName, ChangePosition>,
     relayed: BTreeMap<InstanceName, u64>,
     /// The number of listings received.
     received: usize,
@@ -291,7 +296,7 @@
             self.relayed.remove(name);
         }
         let own = replica.local_changes_after(if is_first { 0 } else { heard.change }, usize::MAX);
-        let heard = Heard { epoch, change: own.up_to };
+        let heard = ChangePosition { epoch, change: own.up_to };
         self.heard.insert(name.clone(), heard);
         self.received += own.listings.len();
         self.directory.apply_direct(now_ms, name, heard, own.listings);
--- a/crates/dispatch/src/dispatcher/versions.rs
+++ b/crates/dispatch/src/dispatcher/versions.rs
@@ -116,7 +116,7 @@
         group == VersionGroup::New && self.is_old(endpoint, target)
     }
 
-    fn note_placed(&mut self, version: &Version) {
+    fn record_placed(&mut self, version: &Version) {
         let VersionMode::Split { target, .. } = &self.rule.mode else { return };
         self.placed += 1;
         self.placed_new += u64::from(version == target);
@@ -126,7 +126,7 @@
 impl Service {
     pub(super) fn record_version_placed(&mut self, version: &Version) {
         if let Some(version_routing) = &mut self.version_routing {
-            version_routing.note_placed(version);
+            version_routing.record_placed(version);
         }
     }
 
--- a/crates/gateway/src/http/connection.rs
+++ b/crates/gateway/src/http/connection.rs
@@ -71,7 +71,7 @@
                 gateway.executor.spawn(task).detach();
             }
             Err(error) => {
-                spdlog::warn!("connection not accepted", kv: { error: });
+                spdlog::warn!("failed to accept a connection", kv: { error: });
                 Timer::after(Duration::from_millis(ACCEPT_RETRY_MS)).await;
             }
         }
--- a/crates/peer/src/entry/mod.rs
+++ b/crates/peer/src/entry/mod.rs
@@ -320,7 +320,7 @@
             if update.restarted {
                 known.directory.mark_restarted(now_ms, from);
             }
-            changed |= known.directory.apply_direct(now_ms, from, update.heard, update.listings);
+            changed |= known.directory.apply_direct(now_ms, from, update.position, update.listings);
             changed |= known.directory.apply_relayed(now_ms, from, update.relays);
             if update.leader.is_some() && known.leader != update.leader {
                 known.leader = update.leader;
--- a/crates/peer/src/entry/pause.rs
+++ b/crates/peer/src/entry/pause.rs
@@ -20,9 +20,9 @@
 /// use lycheehub_peer::entry::PauseGuard;
 ///
 /// let mut guard = PauseGuard::new(1_000);
-/// assert!(!guard.note_running(1_050));
+/// assert!(!guard.record_running(1_050));
 /// assert!(!guard.must_wait(1_050));
-/// assert!(guard.note_running(6_000));
+/// assert!(guard.record_running(6_000));
 /// assert!(guard.must_wait(6_000));
 /// assert!(guard.must_wait(6_900));
 /// assert!(!guard.must_wait(7_100));
@@ -42,7 +42,7 @@
     }
 
     /// Records that the process is running. Returns whether it was paused since the last call.
-    pub fn note_running(&mut self, now_ms: u64) -> bool {
+    pub fn record_running(&mut self, now_ms: u64) -> bool {
         let was_paused = now_ms >= self.last_run_ms + PAUSE_THRESHOLD_MS;
         if was_paused {
             self.wait_until_ms = now_ms + LEADER_WAIT_MS;
--- a/crates/peer/src/entry/placement.rs
+++ b/crates/peer/src/entry/placement.rs
@@ -266,7 +266,7 @@
     /// Checks whether the process was paused. If so, withdraws the requests that wait here, because the
     /// local state is stale.
     fn check_pause(&self) {
-        if self.pause_guard.borrow_mut().note_running(self.clock.now_ms()) {
+        if self.pause_guard.borrow_mut().record_running(self.clock.now_ms()) {
             spdlog::warn!("paused: requests wait for the leader");
             self.withdraw_local();
         }
--- a/crates/peer/src/node/directory.rs
+++ b/crates/peer/src/node/directory.rs
@@ -4,7 +4,7 @@
 use crate::count_guard::CountGuard;
 use crate::watch::{self, REVISION_FROM_LOG, ReplicaPositions, WatchUpdate, Watcher};
 use lycheehub_control::directory::batching::{self, Backlog};
-use lycheehub_control::directory::{Changes, Heard, LEASE_MS, Listing};
+use lycheehub_control::directory::{ChangePosition, Changes, LEASE_MS, Listing};
 use lycheehub_types::{EndpointName, EndpointRecord, InstanceName};
 use smol::Timer;
 use smol::channel::bounded;
@@ -23,11 +23,11 @@
 #[derive(Clone, Debug)]
 pub(crate) struct WatchPosition {
     /// Its position in this instance's local changes.
-    pub(crate) local: Heard,
+    pub(crate) local: ChangePosition,
     /// The number of the last relayed change that this instance has sent to it.
     pub(crate) relayed: u64,
     /// Its position in each replica's local changes.
-    pub(crate) heard: BTreeMap<InstanceName, Heard>,
+    pub(crate) replica_positions: BTreeMap<InstanceName, ChangePosition>,
     /// The state revision that it has.
     pub(crate) revision: u64,
     /// The leader that it was last told of.
@@ -37,7 +37,7 @@
 /// The reply of a replica to a watcher.
 pub(crate) struct WatchReply {
     /// The position in the replica's local changes that this reply reaches.
-    pub(crate) local: Heard,
+    pub(crate) local: ChangePosition,
     pub(crate) listings: Vec<Listing>,
     /// The number of the last relayed change that this reply covers.
     pub(crate) relayed: u64,
@@ -146,7 +146,7 @@
         let local_changes =
             core.directory.local_changes_after(known_change, batching::MAX_CHANGES_PER_REPLY);
         WatchReply {
-            local: Heard { epoch, change: local_changes.up_to },
+            local: ChangePosition { epoch, change: local_changes.up_to },
             listings: local_changes.listings,
             relayed: relays.up_to,
             relays: relays.listings,
@@ -181,7 +181,7 @@
             position.relayed,
             batching::MAX_CHANGES_PER_REPLY,
             before_ms,
-            &position.heard,
+            &position.replica_positions,
         )
     }
 
@@ -276,7 +276,7 @@
                 core.directory.mark_restarted(now_ms, from);
             }
             let directory = &mut core.directory;
-            directory.apply_direct(now_ms, from, update.heard, update.listings)
+            directory.apply_direct(now_ms, from, update.position, update.listings)
                 | directory.apply_relayed(now_ms, from, update.relays)
         };
         if changed {
--- a/crates/peer/src/node/follow.rs
+++ b/crates/peer/src/node/follow.rs
@@ -29,7 +29,7 @@
                 continue;
             };
             if let Err(error) = self.follow_once(&source).await {
-                spdlog::debug!("changes not received", kv: { error: });
+                spdlog::debug!("failed to fetch state changes", kv: { error: });
                 source_index += 1;
                 Timer::after(Duration::from_millis(SOURCE_RETRY_MS)).await;
             }
--- a/crates/peer/src/server.rs
+++ b/crates/peer/src/server.rs
@@ -8,7 +8,7 @@
 use capnp::message::ReaderOptions;
 use capnp_rpc::{RpcSystem, new_client, rpc_twoparty_capnp::Side, twoparty::VatNetwork};
 use lycheehub_consensus::{Message, ReplicaId};
-use lycheehub_control::directory::Heard;
+use lycheehub_control::directory::ChangePosition;
 use lycheehub_control::registry::Delta;
 use lycheehub_dispatch::JobId;
 use lycheehub_types::{EndpointName, InstanceName};
@@ -199,9 +199,9 @@
         let params = params.get()?;
         let leader = read_text(params.get_leader())?;
         let position = WatchPosition {
-            local: Heard { epoch: params.get_epoch(), change: params.get_change() },
+            local: ChangePosition { epoch: params.get_epoch(), change: params.get_change() },
             relayed: params.get_relayed(),
-            heard: lycheehub_wire::read_heard(params.get_heard()?)?,
+            replica_positions: lycheehub_wire::read_heard(params.get_heard()?)?,
             revision: params.get_revision(),
             leader: (!leader.is_empty()).then(|| InstanceName::new(leader)),
         };
--- a/crates/peer/src/watch.rs
+++ b/crates/peer/src/watch.rs
@@ -2,7 +2,7 @@
 
 use crate::link::Links;
 use lycheehub_clock::Clock;
-use lycheehub_control::directory::{Heard, Listing, ORPHAN_MS};
+use lycheehub_control::directory::{ChangePosition, Listing, ORPHAN_MS};
 use lycheehub_types::{InstanceName, PeerError};
 use lycheehub_wire::peer_capnp::peer;
 use lycheehub_wire::{WireError, read_listings, write_heard};
@@ -29,7 +29,7 @@
 #[derive(Clone, Debug, Default)]
 pub(crate) struct WatchUpdate {
     /// The position in its local changes that this update reaches.
-    pub(crate) heard: Heard,
+    pub(crate) position: ChangePosition,
     /// Endpoints changed by announcements at the replica.
     pub(crate) listings: Vec<Listing>,
     /// Endpoints whose changes the replica relays from other replicas.
@@ -45,7 +45,7 @@
 }
 
 /// The position reached in the local changes of each watched replica.
-pub(crate) type ReplicaPositions = RefCell<BTreeMap<InstanceName, Heard>>;
+pub(crate) type ReplicaPositions = RefCell<BTreeMap<InstanceName, ChangePosition>>;
 
 /// Receives updates from watched replicas.
 pub(crate) trait Watcher {
@@ -115,17 +115,22 @@
     cursor: &mut Cursor,
 ) -> Result<WatchUpdate, PeerError> {
     const STEP: &str = "watch";
-    let heard = watcher.replica_positions().borrow().clone();
-    let position = heard.get(to).copied().unwrap_or_default();
+    let replica_positions = watcher.replica_positions().borrow().clone();
+    let position = replica_positions.get(to).copied().unwrap_or_default();
     let sender = links.own_name();
-    let watch_request =
-        WatchRequest { sender, previous: cursor, position, heard, revision: watcher.revision() };
+    let watch_request = WatchRequest {
+        sender,
+        previous: cursor,
+        position,
+        replica_positions,
+        revision: watcher.revision(),
+    };
     let timeout_ms = u64::from(LONG_POLL_MS) + REPLY_MARGIN_MS;
     let poll = |peer| send_watch(peer, &watch_request);
     let (next_cursor, mut update) =
         links.call(STEP, to, watcher.address_of(to), timeout_ms, poll).await?;
-    update.restarted = position.epoch != 0 && position.epoch != update.heard.epoch;
-    watcher.replica_positions().borrow_mut().insert(to.clone(), update.heard);
+    update.restarted = position.epoch != 0 && position.epoch != update.position.epoch;
+    watcher.replica_positions().borrow_mut().insert(to.clone(), update.position);
     *cursor = next_cursor;
     Ok(update)
 }
@@ -135,9 +140,9 @@
     sender: &'a str,
     previous: &'a Cursor,
     /// The position reached in this replica's local changes.
-    position: Heard,
+    position: ChangePosition,
     /// The position reached in each replica's local changes.
-    heard: BTreeMap<InstanceName, Heard>,
+    replica_positions: BTreeMap<InstanceName, ChangePosition>,
     revision: u64,
 }
 
@@ -155,7 +160,10 @@
     params.set_revision(watch_request.revision);
     params.set_wait_ms(LONG_POLL_MS);
     params.set_leader(previous.leader.as_ref().map_or("", InstanceName::as_str));
-    write_heard(&watch_request.heard, params.init_heard(watch_request.heard.len() as u32));
+    write_heard(
+        &watch_request.replica_positions,
+        params.init_heard(watch_request.replica_positions.len() as u32),
+    );
     let reply = request.send().promise.await?;
     let reply = reply.get()?;
     let text = |text: capnp::Result<capnp::text::Reader<'_>>| -> Result<SmolStr, WireError> {
@@ -168,7 +176,7 @@
     }
     let leader = text(reply.get_leader())?;
     let update = WatchUpdate {
-        heard: Heard { epoch: reply.get_epoch(), change: reply.get_change() },
+        position: ChangePosition { epoch: reply.get_epoch(), change: reply.get_change() },
         listings: read_listings(reply.get_listings()?)?,
         relays: read_listings(reply.get_relays()?)?,
         revision: reply.get_revision(),
--- a/crates/peer/tests/peer/pause.rs
+++ b/crates/peer/tests/peer/pause.rs
@@ -5,7 +5,7 @@
 
 /// Records that the process runs, then returns whether a request must wait.
 fn must_wait(guard: &mut PauseGuard, now_ms: u64) -> bool {
-    guard.note_running(now_ms);
+    guard.record_running(now_ms);
     guard.must_wait(now_ms)
 }
 
@@ -31,7 +31,7 @@
 #[gtest]
 fn a_pause_is_detected_by_the_first_call_after_it() {
     let mut guard = PauseGuard::new(1_000);
-    expect_that!(guard.note_running(4_500), eq(true));
-    expect_that!(guard.note_running(4_550), eq(false));
+    expect_that!(guard.record_running(4_500), eq(true));
+    expect_that!(guard.record_running(4_550), eq(false));
     expect_that!(must_wait(&mut guard, 4_600), eq(true));
 }
--- a/crates/wire/src/convert/directory.rs
+++ b/crates/wire/src/convert/directory.rs
@@ -4,7 +4,7 @@
 use super::records::write_endpoint;
 use crate::peer_capnp as schema;
 use capnp::struct_list;
-use lycheehub_control::directory::{Heard, Listing};
+use lycheehub_control::directory::{ChangePosition, Listing};
 use lycheehub_types::InstanceName;
 use std::collections::BTreeMap;
 
@@ -49,9 +49,9 @@
 /// Fails if a name cannot be decoded.
 pub fn read_heard(
     reader: struct_list::Reader<'_, schema::heard::Owned>,
-) -> Result<BTreeMap<InstanceName, Heard>, WireError> {
+) -> Result<BTreeMap<InstanceName, ChangePosition>, WireError> {
     let entry = |entry: schema::heard::Reader<'_>| {
-        let heard = Heard { epoch: entry.get_epoch(), change: entry.get_change() };
+        let heard = ChangePosition { epoch: entry.get_epoch(), change: entry.get_change() };
         Ok((InstanceName::new(entry.get_replica()?.to_str()?), heard))
     };
     reader.iter().map(entry).collect()
@@ -60,7 +60,7 @@
 /// Writes the positions up to which the sender has received the changes of each replica; the builder
 /// has the length of `heard`.
 pub fn write_heard(
-    heard: &BTreeMap<InstanceName, Heard>,
+    heard: &BTreeMap<InstanceName, ChangePosition>,
     mut builder: struct_list::Builder<'_, schema::heard::Owned>,
 ) {
     for (index, (replica, heard)) in (0..).zip(heard) {
